--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -44,7 +44,7 @@
 class FifoProgram(Program):
     """A program whose configuration file is a FIFO, so that the test controls when it is read."""
 
-    def write_config(self, told):
+    def write_config(self, config):
         os.mkfifo(self.path)
 
     def open_and_write(self, content):
@@ -75,8 +75,8 @@
 
 
 class StartupTest(WithPods):
-    def fifo_program(self, *entries, **more):
-        program = FifoProgram(*entries, **more)
+    def fifo_program(self, *entries, **options):
+        program = FifoProgram(*entries, **options)
         self.addCleanup(program.__exit__)
         return program
 
@@ -85,10 +85,10 @@
         self.addCleanup(new.close)
         program = self.fifo_program()
         # The program has the file open and waits for its end.
-        first = program.open_and_write(program.config)
+        first_read = program.open_and_write(program.config)
         program.process.send_signal(signal.SIGHUP)
         program.wait_until_signals_delivered()
-        program.finish_read(first)
+        program.finish_read(first_read)
         # Returns only if the program reads the file again.
         program.finish_read(program.open_and_write({**program.config, "discovery": new.address}))
         # The program may reconfigure before its first request to the former address.
@@ -99,10 +99,10 @@
 
     def test_partial_file_is_read_again_at_startup_after_sighup(self):
         program = self.fifo_program()
-        half = program.open_and_write(json.dumps(program.config).encode()[:100])
+        partial_read = program.open_and_write(json.dumps(program.config).encode()[:100])
         program.process.send_signal(signal.SIGHUP)
         program.wait_until_signals_delivered()
-        program.finish_read(half)
+        program.finish_read(partial_read)
         program.finish_read(program.open_and_write(program.config))
         program.__enter__()
         with program.client() as client:
@@ -126,17 +126,17 @@
 
     def program_waiting_for_address(self):
         """Returns a program that waits for its address, and the socket that occupies it."""
-        held = []
+        listeners = []
 
-        def change(told):
-            host, _, port = told["listen"].rpartition(":")
-            held.append(socket.create_server((host, int(port))))
+        def change(config):
+            host, _, port = config["listen"].rpartition(":")
+            listeners.append(socket.create_server((host, int(port))))
 
         program = Program(change=change)
         self.addCleanup(program.__exit__)
-        self.addCleanup(held[0].close)
+        self.addCleanup(listeners[0].close)
         wait_until(lambda: b'"address in use"' in program.process.stdout.readline(), lambda: None)
-        return program, held[0]
+        return program, listeners[0]
 
     def test_startup_waits_for_an_address_in_use_and_handles_sighup(self):
         program, other = self.program_waiting_for_address()
@@ -184,7 +184,7 @@
             events = [json.loads(line)["event"] for line in out.splitlines()]
             # A silent watch stream may have been closed before the signal.
             self.assertEqual(
-                [one for one in events if one != "stream ended"], ["stopping", "stopped"]
+                [event for event in events if event != "stream ended"], ["stopping", "stopped"]
             )
 
     def test_sighup_during_imports_does_not_end_the_process(self):
@@ -208,7 +208,10 @@
         A signal that arrives after that would end the process.
         """
         for signal_number in (signal.SIGHUP, *lifecycle.STOP_SIGNALS):
-            for change, exit_status in ((lambda told: None, 0), (lambda told: told.pop("seed"), 2)):
+            for change, exit_status in (
+                (lambda config: None, 0),
+                (lambda config: config.pop("seed"), 2),
+            ):
                 code_at_exit = f"""class Last:
     kill, own = os.kill, os.getpid()
     def __del__(self):
@@ -239,12 +242,16 @@
         return program
 
     def test_first_request_uses_the_endpoint_list_of_the_agent(self):
-        left, new = self.pod(), self.pod()
-        program = self.start_without_list(left.entry("s-1"))
-        program.discovery.push_list(9, left.entry("s-1", state="Terminating"), new.entry("s-2"))
+        terminating, new = self.pod(), self.pod()
+        program = self.start_without_list(terminating.entry("s-1"))
+        program.discovery.push_list(
+            9, terminating.entry("s-1", state="Terminating"), new.entry("s-2")
+        )
         with program.__enter__().client() as client:
             self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
-        self.assertEqual((left.received_commands.qsize(), new.received_commands.qsize()), (0, 1))
+        self.assertEqual(
+            (terminating.received_commands.qsize(), new.received_commands.qsize()), (0, 1)
+        )
 
     def test_heartbeat_indicates_that_there_is_no_list(self):
         program = self.start_without_list()
@@ -271,8 +278,8 @@
             self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
 
     def test_polled_lists_are_not_waited_for(self):
-        def change(told):
-            told["settings"].update(discovery="subscribe", balancers=400)
+        def change(config):
+            config["settings"].update(discovery="subscribe", balancers=400)
 
         with without_first_list_timeout():
             program = Program(change=change)
@@ -288,9 +295,9 @@
         release, new = threading.Event(), FakeDiscovery()
         self.addCleanup(new.close)
 
-        def answer(words):
+        def answer(command):
             release.wait(TIMEOUT_SECONDS)
-            return value(words[2])
+            return value(command[2])
 
         pod = self.pod(answer)
         program = self.program(pod.entry("s-1"))
@@ -350,7 +357,7 @@
             with run_after_setup(startup_code):
                 program = Program(
                     silent=True,
-                    change=lambda told, sockets=sockets: told["limits"].update(sockets=sockets),
+                    change=lambda config, sockets=sockets: config["limits"].update(sockets=sockets),
                 )
             self.addCleanup(program.__exit__)
             wait_until(lambda program=program: program.discovery.streams, lambda: time.sleep(0.005))
@@ -391,7 +398,7 @@
             return 500, b""
 
         pod = self.pod(
-            lambda words: b"-ERR failed\r\n" if words[0] == b"SVC.SUBMIT" else value(words[2])
+            lambda command: b"-ERR failed\r\n" if command[0] == b"SVC.SUBMIT" else value(command[2])
         )
         program = self.program(
             pod.entry("s-1", 42),
@@ -425,7 +432,7 @@
         SIGTERM. The last responses used to come after 3.65 s, and a pause of 0.05 s behind them
         delayed the exit until the kill at 3.70 s, with exit status -9.
         """
-        pod = self.pod(lambda words: b"")
+        pod = self.pod(lambda command: b"")
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
             client.send("SVC.QUERY", "a", "01", "c=read,t=acme,d=3000")
@@ -450,7 +457,7 @@
         deadline that ends all such waits had passed, and the process was killed: it logged its
         end 3.69 s after SIGTERM, and the kill may come after 3.70 s.
         """
-        pod = self.pod(lambda words: b"")
+        pod = self.pod(lambda command: b"")
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
             program.process.send_signal(signal.SIGTERM)
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -27,8 +27,8 @@
         self.addCleanup(peer.close)
         return peer
 
-    def program(self, *entries, **more):
-        program = Program(*entries, **more)
+    def program(self, *entries, **options):
+        program = Program(*entries, **options)
         self.addCleanup(program.__exit__)
         return program.__enter__()
 
@@ -37,28 +37,33 @@
     def test_each_request_class_is_forwarded_unchanged_except_its_deadline(self):
         pod = self.pod()
         with self.program(pod.entry("s-1")).client() as client:
-            for words in (
+            for command in (
                 ("SVC.QUERY", "7f3a", "01", READ),
                 ("SVC.SUBMIT", "7f3a", "02", MARK, "BODY"),
                 ("SVC.SUBMIT", "7f3a", "03", PAY, b"\r\n\x00" * 9000),
             ):
-                self.assertEqual(client.request(*words), words[2].encode())
-                got = pod.received_commands.get(timeout=TIMEOUT_SECONDS)
-                sent = [word if isinstance(word, bytes) else word.encode() for word in words]
-                self.assertEqual(got[:3] + got[4:], sent[:3] + sent[4:])
-                name, _, left = got[3].split(b",")[2].partition(b"=")
-                self.assertEqual((name, got[3].replace(b"d=" + left, b"d=15000")), (b"d", sent[3]))
-                self.assertLessEqual(int(left), 15000)
+                self.assertEqual(client.request(*command), command[2].encode())
+                received = pod.received_commands.get(timeout=TIMEOUT_SECONDS)
+                expected = [
+                    argument if isinstance(argument, bytes) else argument.encode()
+                    for argument in command
+                ]
+                self.assertEqual(received[:3] + received[4:], expected[:3] + expected[4:])
+                field, _, time_left = received[3].split(b",")[2].partition(b"=")
+                self.assertEqual(
+                    (field, received[3].replace(b"d=" + time_left, b"d=15000")), (b"d", expected[3])
+                )
+                self.assertLessEqual(int(time_left), 15000)
 
     def test_pipelined_commands_are_answered_in_order(self):
-        second = threading.Event()
+        second_received = threading.Event()
 
-        def answer(words):
-            if words[2] == b"01":
-                second.wait(TIMEOUT_SECONDS)
+        def answer(command):
+            if command[2] == b"01":
+                second_received.wait(TIMEOUT_SECONDS)
             else:
-                second.set()
-            return value(words[2])
+                second_received.set()
+            return value(command[2])
 
         pod = self.pod(answer)
         with self.program(pod.entry("s-1")).client() as client:
@@ -70,12 +75,12 @@
             self.assertEqual([client.read_response() for _ in range(3)], [b"01", b"+PONG", b"02"])
 
     def test_frames_may_arrive_byte_by_byte(self):
-        def piecemeal(words):
-            for byte in value(words[2])[:-1]:
+        def answer_byte_by_byte(command):
+            for byte in value(command[2])[:-1]:
                 pod.connections[0].send(bytes([byte]))
             return b"\n"
 
-        pod = self.pod(piecemeal)
+        pod = self.pod(answer_byte_by_byte)
         with self.program(pod.entry("s-1")).client() as client:
             for byte in encode_command("SVC.QUERY", "a", "01", READ):
                 client.connection.sendall(bytes([byte]))
@@ -84,29 +89,31 @@
 
 class EndpointFailureTest(WithPods):
     def test_request_rejected_by_all_pods_is_deferred(self):
-        pod = self.pod(lambda words: b"-BUSY\r\n")
+        pod = self.pod(lambda command: b"-BUSY\r\n")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), rb"^-BUSY \d+$")
 
     def test_non_idempotent_request_is_retried_after_refused_connection(self):
-        gone, pod = self.pod(), self.pod()
-        gone.stop_listening()
-        with self.program(gone.entry("s-1", weight=9.0), pod.entry("s-2")).client() as client:
+        unreachable, pod = self.pod(), self.pod()
+        unreachable.stop_listening()
+        with self.program(
+            unreachable.entry("s-1", weight=9.0), pod.entry("s-2")
+        ).client() as client:
             for name in ("01", "02", "03"):
                 self.assertEqual(client.request("SVC.SUBMIT", "a", name, PAY, "B"), name.encode())
 
     def test_non_idempotent_request_is_abandoned_after_reset_once_fully_sent(self):
-        pods = [self.pod(lambda words: None) for _ in range(2)]
+        pods = [self.pod(lambda command: None) for _ in range(2)]
         with self.program(
-            *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
+            *(pod.entry(f"s-{number}") for number, pod in enumerate(pods))
         ).client() as client:
             self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), b"^-ERR")
         self.assertEqual(sum(pod.received_commands.qsize() for pod in pods), 1)
 
     def test_idempotent_request_is_retried_after_reset(self):
-        pods = [self.pod(lambda words: None), self.pod()]
+        pods = [self.pod(lambda command: None), self.pod()]
         with self.program(
-            *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
+            *(pod.entry(f"s-{number}") for number, pod in enumerate(pods))
         ).client() as client:
             self.assertEqual(
                 [client.request("SVC.QUERY", "a", name, READ) for name in ("01", "02")],
@@ -114,14 +121,14 @@
             )
 
     def test_connection_to_silent_pod_is_closed_at_the_request_deadline(self):
-        pod = self.pod(lambda words: b"")
+        pod = self.pod(lambda command: b"")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.request("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
         self.assertTrue(pod.closed_connections.get(timeout=TIMEOUT_SECONDS))
 
     def test_request_with_malformed_response_is_not_retried(self):
         for answer in (b"*1\r\n$4\r\nhal", b"$70000\r\n", b"nonsense\r\n", b"*1\r\n$-1\r\n"):
-            pod = self.pod(lambda words, answer=answer: answer)
+            pod = self.pod(lambda command, answer=answer: answer)
             with self.program(pod.entry("s-1")).client() as client:
                 self.assertRegex(
                     client.request("SVC.SUBMIT", "a", "01", "c=pay,d=2500", "B"), b"^-ERR"
@@ -129,7 +136,7 @@
             self.assertEqual(pod.received_commands.qsize(), 1)
 
     def test_client_disconnect_cancels_its_attempt(self):
-        pod = self.pod(lambda words: b"")
+        pod = self.pod(lambda command: b"")
         with self.program(pod.entry("s-1")).client() as client:
             client.send("SVC.SUBMIT", "a", "01", PAY, "B")
             pod.received_commands.get(timeout=TIMEOUT_SECONDS)
@@ -140,7 +147,7 @@
         pod = self.pod()
         program = self.program(pod.entry("s-1"))
         with program.client() as good, program.client() as bad:
-            for words, reason in (
+            for command, reason in (
                 (("NO.SUCH", "a"), b"unknown command"),
                 (("SVC.QUERY", "a"), b"takes a key"),
                 (("SVC.QUERY", "a", "01", "c=none,d=100"), b"no such lane"),
@@ -148,7 +155,7 @@
                 (("SVC.QUERY", "a", "01", "c=read"), b"d, the time"),
                 (("SVC.QUERY", "a", "", READ), b"the id"),
             ):
-                self.assertRegex(bad.request(*words), b"^-ERR .*" + reason)
+                self.assertRegex(bad.request(*command), b"^-ERR .*" + reason)
             bad.connection.sendall(b"*2\r\n$70000\r\n")
             self.assertRegex(bad.read_response(), b"^-ERR syntax")
             self.assertEqual(bad.read_response(), b"")
@@ -159,15 +166,15 @@
     def test_burst_of_connections_is_served_within_the_descriptor_limit(self):
         pod = self.pod()
         program = self.program(
-            pod.entry("s-1"), change=lambda told: told["limits"].update(sockets=64)
+            pod.entry("s-1"), change=lambda config: config["limits"].update(sockets=64)
         )
         # 12 fit at a time; the oldest idle connections are closed for new ones.
         clients = [program.client() for _ in range(40)]
         served = 0
-        for at, client in enumerate(clients):
+        for number, client in enumerate(clients):
             with client:
                 try:
-                    served += client.request("SVC.QUERY", "a", f"{at}", READ) == b"%d" % at
+                    served += client.request("SVC.QUERY", "a", f"{number}", READ) == b"%d" % number
                 except ConnectionError:
                     pass
         self.assertGreaterEqual(served, 11)
@@ -175,25 +182,25 @@
             self.assertEqual(late_client.request("SVC.QUERY", "a", "late", READ), b"late")
 
     def test_slow_reader_blocks_no_other_client_and_receives_all_responses(self):
-        pod = self.pod(lambda words: value(words[2] * 15000))
+        pod = self.pod(lambda command: value(command[2] * 15000))
         program = self.program(pod.entry("s-1"))
         with program.client() as slow, program.client() as other:
-            for at in range(100, 160):
-                slow.send("SVC.QUERY", "a", f"{at}", READ)
+            for number in range(100, 160):
+                slow.send("SVC.QUERY", "a", f"{number}", READ)
             self.assertEqual(other.request("SVC.QUERY", "a", "999", READ), b"999" * 15000)
             self.assertEqual(
                 [slow.read_response() for _ in range(60)],
-                [b"%d" % at * 15000 for at in range(100, 160)],
+                [b"%d" % number * 15000 for number in range(100, 160)],
             )
 
 
 class UpdateTest(WithPods):
     def test_drain_lets_requests_in_flight_finish_and_sends_no_new_ones(self):
-        told = threading.Event()
+        release = threading.Event()
 
-        def answer(words):
-            told.wait(TIMEOUT_SECONDS)
-            return value(words[2])
+        def answer(command):
+            release.wait(TIMEOUT_SECONDS)
+            return value(command[2])
 
         old, new = self.pod(answer), self.pod()
         program = self.program(old.entry("s-1"))
@@ -206,10 +213,10 @@
                 lambda: second.request("SVC.QUERY", "a", "r", READ),
             )
             self.assertEqual(
-                [second.request("SVC.QUERY", "a", f"1{at}", READ) for at in range(9)],
-                [b"1%d" % at for at in range(9)],
+                [second.request("SVC.QUERY", "a", f"1{number}", READ) for number in range(9)],
+                [b"1%d" % number for number in range(9)],
             )
-            told.set()
+            release.set()
             self.assertEqual(first.read_response(), b"01")
 
     def test_failing_build_is_voted_down_and_the_vote_is_retried_until_accepted(self):
@@ -224,7 +231,7 @@
                 ),
             ),
         ]
-        good, bad = self.pod(), self.pod(lambda words: b"-ERR failed\r\n")
+        good, bad = self.pod(), self.pod(lambda command: b"-ERR failed\r\n")
         program = self.program(
             good.entry("s-1"),
             bad.entry("s-2", 42),
@@ -238,10 +245,12 @@
             },
         )
         with program.client() as client:
-            number = itertools.count()
+            numbers = itertools.count()
             wait_until(
                 lambda: program.platform.calls.qsize() > 1,
-                lambda: client.request("SVC.QUERY", f"key{next(number)}", f"{next(number)}", READ),
+                lambda: client.request(
+                    "SVC.QUERY", f"key{next(numbers)}", f"{next(numbers)}", READ
+                ),
             )
             vote = {"Action": "PutApproval", "version": "42", "step": "0", "vote": "abort"}
             self.assertEqual([program.platform.calls.get() for _ in range(2)], [vote] * 2)
@@ -249,8 +258,8 @@
             wait_until(lambda: program.wait_for_log("vote")["outcome"] == "done", lambda: None)
             while not bad.received_commands.empty():
                 bad.received_commands.get()
-            for at in range(50):
-                client.request("SVC.QUERY", f"key{at}", f"after{at}", READ)
+            for number in range(50):
+                client.request("SVC.QUERY", f"key{number}", f"after{number}", READ)
             self.assertEqual(bad.received_commands.qsize(), 0)
 
     def test_ended_watch_streams_are_reopened(self):
@@ -291,10 +300,10 @@
     def test_sighup_applies_new_addresses_and_ignores_an_invalid_file(self):
         release = threading.Event()
 
-        def answer(words):
-            if words[2] == b"01":
+        def answer(command):
+            if command[2] == b"01":
                 release.wait(TIMEOUT_SECONDS)
-            return value(words[2])
+            return value(command[2])
 
         pod, new = self.pod(answer), self.pod()
         program = self.program(pod.entry("s-1"))
@@ -337,10 +346,10 @@
     def test_sigterm_answers_requests_in_flight_and_new_connections(self):
         stopped = threading.Event()
 
-        def answer(words):
-            if words[2] == b"01":
+        def answer(command):
+            if command[2] == b"01":
                 stopped.wait(TIMEOUT_SECONDS)
-            return value(words[2])
+            return value(command[2])
 
         pod = self.pod(answer)
         with pause_at_sigterm():
@@ -361,21 +370,21 @@
         self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_invalid_configuration_ends_the_process_and_names_the_key(self):
-        def without(*path):
-            def change(told):
+        def without_key(*path):
+            def change(config):
                 for name in path[:-1]:
-                    told = told[name]
-                told.pop(path[-1])
+                    config = config[name]
+                config.pop(path[-1])
 
             return change
 
         cases = {
-            "deployer.address": without("deployer", "address"),
-            "extra.window": without("settings", "extra", "window"),
-            "known.servers.0.state": lambda told: told["known"]["servers"].append({"id": "x"}),
-            "listen": lambda told: told.update(listen=told["discovery"]),
-            "limits.sockets": lambda told: told["limits"].update(sockets="many"),
-            "deployer.news.status": lambda told: told["deployer"]["news"].update(status="odd"),
+            "deployer.address": without_key("deployer", "address"),
+            "extra.window": without_key("settings", "extra", "window"),
+            "known.servers.0.state": lambda config: config["known"]["servers"].append({"id": "x"}),
+            "listen": lambda config: config.update(listen=config["discovery"]),
+            "limits.sockets": lambda config: config["limits"].update(sockets="many"),
+            "deployer.news.status": lambda config: config["deployer"]["news"].update(status="odd"),
         }
         for key, change in cases.items():
             program = Program(change=change)
