--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -65,7 +65,7 @@
         return output
 
     def finish_read(self, output):
-        """Ends this read. The next one opens a new FIFO and can't read what is left in this one."""
+        """Ends this read. The next one opens a new FIFO and cannot read the rest of this one."""
         os.unlink(self.path)
         os.mkfifo(self.path)
         output.close()
@@ -91,7 +91,8 @@
         program.finish_read(first_read)
         # Returns only if the program reads the file again.
         program.finish_read(program.open_and_write({**program.config, "discovery": new.address}))
-        # The program may reconfigure before its first request to the former address.
+        # The program may reconfigure before its first request to the former address, which
+        # __enter__ would wait for.
         program.discovery.stream_requests.put("perhaps never")
         program.__enter__()
         self.assertEqual(program.wait_for_log("configuration reloaded")["discovery"], new.address)
@@ -266,10 +267,10 @@
             calls.append(content)
             return bytes(content).endswith(b"\n")
 
-        read = notifying_reader(read_list, lambda: calls.append("told"))
+        read = notifying_reader(read_list, lambda: calls.append("notified"))
         for content in (b'{"version"', b":9}\n", b"\n"):
             read(memoryview(content))
-        self.assertEqual(calls, [b'{"version"', b":9}\n", "told", b"\n", "told"])
+        self.assertEqual(calls, [b'{"version"', b":9}\n", "notified", b"\n", "notified"])
 
     def test_wait_for_a_silent_agent_is_bounded(self):
         pod = self.pod()
@@ -327,7 +328,7 @@
         with pause_at_sigterm():
             program = self.program(pod.entry("s-1"))
         with program.client() as first:
-            # The listener accepts as many connections at once as came the last time: one.
+            # The listener accepts as many connections at once as arrived last time: one.
             self.assertEqual(first.request("PING"), b"+PONG")
             program.process.send_signal(signal.SIGTERM)
             program.wait_until_stopped()
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -1,4 +1,4 @@
-"""The program over sockets, with stand-ins for pods, discovery and the release platform."""
+"""Tests of the program over sockets, with stand-ins for pods, discovery and the platform."""
 
 import itertools
 import signal
@@ -18,16 +18,21 @@
 
 
 def value(content):
+    """Returns a pod's response with this value."""
     return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(content), content)
 
 
 class WithPods(unittest.TestCase):
+    """Starts pods and programs, and closes them after the test."""
+
     def pod(self, answer=None):
+        """Starts a pod; `answer` returns the response to a command."""
         peer = FakeEndpoint(answer)
         self.addCleanup(peer.close)
         return peer
 
     def program(self, *entries, **options):
+        """Starts a program with these endpoint list entries; `options` are those of Program."""
         program = Program(*entries, **options)
         self.addCleanup(program.__exit__)
         return program.__enter__()
@@ -168,7 +173,7 @@
         program = self.program(
             pod.entry("s-1"), change=lambda config: config["limits"].update(sockets=64)
         )
-        # 12 fit at a time; the oldest idle connections are closed for new ones.
+        # 12 connections fit at a time; the oldest idle ones are closed for new ones.
         clients = [program.client() for _ in range(40)]
         served = 0
         for number, client in enumerate(clients):
@@ -254,7 +259,7 @@
             )
             vote = {"Action": "PutApproval", "version": "42", "step": "0", "vote": "abort"}
             self.assertEqual([program.platform.calls.get() for _ in range(2)], [vote] * 2)
-            # The platform's reply to the vote has been received.
+            # Waits until the platform's reply to the vote has been received.
             wait_until(lambda: program.wait_for_log("vote")["outcome"] == "done", lambda: None)
             while not bad.received_commands.empty():
                 bad.received_commands.get()
@@ -276,7 +281,7 @@
             program.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS), r"stream=1&index=(7|9)$"
         )
         program.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
-        program.platform.push_release_state(version=42)  # no request goes to this build before
+        program.platform.push_release_state(version=42)  # earlier, this build gets no request
         with program.client() as client:
             wait_until(
                 lambda: not new.received_commands.empty(),
@@ -359,7 +364,8 @@
             pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             program.process.send_signal(signal.SIGTERM)
             program.wait_until_stopped()
-            # Connects within the last half second, however busy the machine is.
+            # The process is stopped, so this connects within the half second in which it still
+            # accepts connections, however busy the machine is.
             with program.client() as late_client:
                 program.process.send_signal(signal.SIGTERM)
                 program.process.send_signal(signal.SIGCONT)
