--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -296,9 +296,9 @@
         release, new = threading.Event(), FakeDiscovery()
         self.addCleanup(new.close)
 
-        def answer(command):
+        def answer(arguments):
             release.wait(TIMEOUT_SECONDS)
-            return value(command[2])
+            return value(arguments[2])
 
         pod = self.pod(answer)
         program = self.program(pod.entry("s-1"))
@@ -399,7 +399,9 @@
             return 500, b""
 
         pod = self.pod(
-            lambda command: b"-ERR failed\r\n" if command[0] == b"SVC.SUBMIT" else value(command[2])
+            lambda arguments: (
+                b"-ERR failed\r\n" if arguments[0] == b"SVC.SUBMIT" else value(arguments[2])
+            )
         )
         program = self.program(
             pod.entry("s-1", 42),
@@ -433,7 +435,7 @@
         SIGTERM. The last responses used to come after 3.65 s, and a pause of 0.05 s behind them
         delayed the exit until the kill at 3.70 s, with exit status -9.
         """
-        pod = self.pod(lambda command: b"")
+        pod = self.pod(lambda arguments: b"")
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
             client.send("SVC.QUERY", "a", "01", "c=read,t=acme,d=3000")
@@ -458,7 +460,7 @@
         deadline that ends all such waits had passed, and the process was killed: it logged its
         end 3.69 s after SIGTERM, and the kill may come after 3.70 s.
         """
-        pod = self.pod(lambda command: b"")
+        pod = self.pod(lambda arguments: b"")
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
             program.process.send_signal(signal.SIGTERM)
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -42,16 +42,16 @@
     def test_each_request_class_is_forwarded_unchanged_except_its_deadline(self):
         pod = self.pod()
         with self.program(pod.entry("s-1")).client() as client:
-            for command in (
+            for arguments in (
                 ("SVC.QUERY", "7f3a", "01", READ),
                 ("SVC.SUBMIT", "7f3a", "02", MARK, "BODY"),
                 ("SVC.SUBMIT", "7f3a", "03", PAY, b"\r\n\x00" * 9000),
             ):
-                self.assertEqual(client.request(*command), command[2].encode())
+                self.assertEqual(client.request(*arguments), arguments[2].encode())
                 received = pod.received_commands.get(timeout=TIMEOUT_SECONDS)
                 expected = [
                     argument if isinstance(argument, bytes) else argument.encode()
-                    for argument in command
+                    for argument in arguments
                 ]
                 self.assertEqual(received[:3] + received[4:], expected[:3] + expected[4:])
                 field, _, time_left = received[3].split(b",")[2].partition(b"=")
@@ -63,12 +63,12 @@
     def test_pipelined_commands_are_answered_in_order(self):
         second_received = threading.Event()
 
-        def answer(command):
-            if command[2] == b"01":
+        def answer(arguments):
+            if arguments[2] == b"01":
                 second_received.wait(TIMEOUT_SECONDS)
             else:
                 second_received.set()
-            return value(command[2])
+            return value(arguments[2])
 
         pod = self.pod(answer)
         with self.program(pod.entry("s-1")).client() as client:
@@ -80,8 +80,8 @@
             self.assertEqual([client.read_response() for _ in range(3)], [b"01", b"+PONG", b"02"])
 
     def test_frames_may_arrive_byte_by_byte(self):
-        def answer_byte_by_byte(command):
-            for byte in value(command[2])[:-1]:
+        def answer_byte_by_byte(arguments):
+            for byte in value(arguments[2])[:-1]:
                 pod.connections[0].send(bytes([byte]))
             return b"\n"
 
@@ -94,7 +94,7 @@
 
 class EndpointFailureTest(WithPods):
     def test_request_rejected_by_all_pods_is_deferred(self):
-        pod = self.pod(lambda command: b"-BUSY\r\n")
+        pod = self.pod(lambda arguments: b"-BUSY\r\n")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), rb"^-BUSY \d+$")
 
@@ -108,7 +108,7 @@
                 self.assertEqual(client.request("SVC.SUBMIT", "a", name, PAY, "B"), name.encode())
 
     def test_non_idempotent_request_is_abandoned_after_reset_once_fully_sent(self):
-        pods = [self.pod(lambda command: None) for _ in range(2)]
+        pods = [self.pod(lambda arguments: None) for _ in range(2)]
         with self.program(
             *(pod.entry(f"s-{number}") for number, pod in enumerate(pods))
         ).client() as client:
@@ -116,7 +116,7 @@
         self.assertEqual(sum(pod.received_commands.qsize() for pod in pods), 1)
 
     def test_idempotent_request_is_retried_after_reset(self):
-        pods = [self.pod(lambda command: None), self.pod()]
+        pods = [self.pod(lambda arguments: None), self.pod()]
         with self.program(
             *(pod.entry(f"s-{number}") for number, pod in enumerate(pods))
         ).client() as client:
@@ -126,14 +126,14 @@
             )
 
     def test_connection_to_silent_pod_is_closed_at_the_request_deadline(self):
-        pod = self.pod(lambda command: b"")
+        pod = self.pod(lambda arguments: b"")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.request("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
         self.assertTrue(pod.closed_connections.get(timeout=TIMEOUT_SECONDS))
 
     def test_request_with_malformed_response_is_not_retried(self):
         for answer in (b"*1\r\n$4\r\nhal", b"$70000\r\n", b"nonsense\r\n", b"*1\r\n$-1\r\n"):
-            pod = self.pod(lambda command, answer=answer: answer)
+            pod = self.pod(lambda arguments, answer=answer: answer)
             with self.program(pod.entry("s-1")).client() as client:
                 self.assertRegex(
                     client.request("SVC.SUBMIT", "a", "01", "c=pay,d=2500", "B"), b"^-ERR"
@@ -141,7 +141,7 @@
             self.assertEqual(pod.received_commands.qsize(), 1)
 
     def test_client_disconnect_cancels_its_attempt(self):
-        pod = self.pod(lambda command: b"")
+        pod = self.pod(lambda arguments: b"")
         with self.program(pod.entry("s-1")).client() as client:
             client.send("SVC.SUBMIT", "a", "01", PAY, "B")
             pod.received_commands.get(timeout=TIMEOUT_SECONDS)
@@ -152,7 +152,7 @@
         pod = self.pod()
         program = self.program(pod.entry("s-1"))
         with program.client() as good, program.client() as bad:
-            for command, reason in (
+            for arguments, reason in (
                 (("NO.SUCH", "a"), b"unknown command"),
                 (("SVC.QUERY", "a"), b"takes a key"),
                 (("SVC.QUERY", "a", "01", "c=none,d=100"), b"no such lane"),
@@ -160,7 +160,7 @@
                 (("SVC.QUERY", "a", "01", "c=read"), b"d, the time"),
                 (("SVC.QUERY", "a", "", READ), b"the id"),
             ):
-                self.assertRegex(bad.request(*command), b"^-ERR .*" + reason)
+                self.assertRegex(bad.request(*arguments), b"^-ERR .*" + reason)
             bad.connection.sendall(b"*2\r\n$70000\r\n")
             self.assertRegex(bad.read_response(), b"^-ERR syntax")
             self.assertEqual(bad.read_response(), b"")
@@ -187,7 +187,7 @@
             self.assertEqual(late_client.request("SVC.QUERY", "a", "late", READ), b"late")
 
     def test_slow_reader_blocks_no_other_client_and_receives_all_responses(self):
-        pod = self.pod(lambda command: value(command[2] * 15000))
+        pod = self.pod(lambda arguments: value(arguments[2] * 15000))
         program = self.program(pod.entry("s-1"))
         with program.client() as slow, program.client() as other:
             for number in range(100, 160):
@@ -203,9 +203,9 @@
     def test_drain_lets_requests_in_flight_finish_and_sends_no_new_ones(self):
         release = threading.Event()
 
-        def answer(command):
+        def answer(arguments):
             release.wait(TIMEOUT_SECONDS)
-            return value(command[2])
+            return value(arguments[2])
 
         old, new = self.pod(answer), self.pod()
         program = self.program(old.entry("s-1"))
@@ -236,7 +236,7 @@
                 ),
             ),
         ]
-        good, bad = self.pod(), self.pod(lambda command: b"-ERR failed\r\n")
+        good, bad = self.pod(), self.pod(lambda arguments: b"-ERR failed\r\n")
         program = self.program(
             good.entry("s-1"),
             bad.entry("s-2", 42),
@@ -305,10 +305,10 @@
     def test_sighup_applies_new_addresses_and_ignores_an_invalid_file(self):
         release = threading.Event()
 
-        def answer(command):
-            if command[2] == b"01":
+        def answer(arguments):
+            if arguments[2] == b"01":
                 release.wait(TIMEOUT_SECONDS)
-            return value(command[2])
+            return value(arguments[2])
 
         pod, new = self.pod(answer), self.pod()
         program = self.program(pod.entry("s-1"))
@@ -351,10 +351,10 @@
     def test_sigterm_answers_requests_in_flight_and_new_connections(self):
         stopped = threading.Event()
 
-        def answer(command):
-            if command[2] == b"01":
+        def answer(arguments):
+            if arguments[2] == b"01":
                 stopped.wait(TIMEOUT_SECONDS)
-            return value(command[2])
+            return value(arguments[2])
 
         pod = self.pod(answer)
         with pause_at_sigterm():
