--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -979,7 +979,7 @@
             self.checker._add_violation(
                 1,
                 last,
-                f"still open: {list(self.made.requests.open)} {list(self.checker.open_requests)}",
+                f"still open: {list(self.engine.requests.open)} {list(self.checker.open_requests)}",
             )
         if not any(values and values[0] == TimerFired(0) for _, _, _, values in self.queue):
             self.checker._add_violation(0, last, "the tick timer is not set")
