--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -284,8 +284,8 @@
             Keyring([peer("n1", (key, None))], [key.public_key_text()]).owner(key.key_id, 0)
         )
         for peers, expected_error in (
-            ([peer("n1", (key, None)), peer("n2", (key, None))], "the same key"),
-            ([peer("n1", (key, None)), peer("n1", (KEYS["n2"], None))], "twice"),
+            ([peer("n1", (key, None)), peer("n2", (key, None))], "n1 and n2 have the same key"),
+            ([peer("n1", (key, None)), peer("n1", (KEYS["n2"], None))], "two peers have the same name"),
             ([peer("n1", (key, "tomorrow"))], "not a time"),
         ):
             with self.assertRaisesRegex(KeyringError, expected_error):
@@ -310,7 +310,7 @@
                 identity = read_identity("n7", source.read())
             self.assertEqual(len(base64.b64decode(identity.public_key_text())), 32)
             self.assertEqual(keys.main(["show", "n7", path]), 0)
-        with self.assertRaisesRegex(KeyringError, "can be read"):
+        with self.assertRaisesRegex(KeyringError, "the private key can't be read"):
             read_identity("n7", b"no key")
 
 
--- a/thymeknot/gossip/keyring.py
+++ b/thymeknot/gossip/keyring.py
@@ -70,9 +70,9 @@
     try:
         private = serialization.load_pem_private_key(content, None)
     except (ValueError, TypeError) as error:
-        raise KeyringError(f"no private key that can be read: {error}") from None
+        raise KeyringError(f"the private key can't be read: {error}") from None
     if not isinstance(private, Ed25519PrivateKey):
-        raise KeyringError("the private key is none of Ed25519")
+        raise KeyringError("the private key is not an Ed25519 key")
     return Identity(name, private)
 
 
@@ -113,7 +113,7 @@
             self.groups[peer.name] = peer.group or peer.name
             self._add_keys(peer, revoked_ids)
         if len(self.groups) != len(peers):
-            raise KeyringError("a name occurs twice among the peers")
+            raise KeyringError("two peers have the same name")
 
     def _add_keys(self, peer: Peer, revoked_ids: set[bytes]) -> None:
         for peer_key in peer.keys:
@@ -123,7 +123,7 @@
                 continue
             entry = self.entries.get(identifier)
             if entry and entry.name != peer.name:
-                raise KeyringError(f"the same key belongs to {entry.name} and to {peer.name}")
+                raise KeyringError(f"{entry.name} and {peer.name} have the same key")
             verifier = Ed25519PublicKey.from_public_bytes(public)
             self.entries[identifier] = KeyringEntry(
                 peer.name, verifier, _parse_key_end(peer_key.until)
--- a/thymeknot/gossip/keys.py
+++ b/thymeknot/gossip/keys.py
@@ -12,8 +12,8 @@
     from .keyring import Identity
 
 DESCRIPTION = (
-    "Makes an instance's key: python -m thymeknot.gossip.keys new NAME FILE prints the record for "
-    "the peers' rings."
+    "Creates an instance's key: python -m thymeknot.gossip.keys new NAME FILE prints the entry for "
+    "the keyrings of its peers."
 )
 EXIT_UNUSABLE = 2  # the file is unusable or has no key, or a library is missing
 
@@ -51,12 +51,12 @@
     )
     commands = parser.add_subparsers(dest="command", required=True)
     for name, help_text in (
-        ("new", "makes a key; the file must not exist"),
-        ("show", "the record of a key there is"),
+        ("new", "create a key; the file must not exist"),
+        ("show", "print the entry of an existing key"),
     ):
         command = commands.add_parser(name, help=help_text)
-        command.add_argument("name", help="the instance's name in the ring")
-        command.add_argument("file", help="the private key, PEM")
+        command.add_argument("name", help="the instance's name in the keyrings")
+        command.add_argument("file", help="the file of the private key, in PEM format")
     return parser.parse_args(arguments)
 
 
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -71,7 +71,7 @@
     except OSError as error:
         raise KeyringError(f"gossip.key: can't be read: {_error_text(error)}") from None
     if keyring.owner(identity.key_id, time.time()) not in (None, settings.name):
-        raise KeyringError("gossip.key: belongs to another name in gossip.peers")
+        raise KeyringError("gossip.key: gossip.peers lists this key under another name")
     return Credentials(identity, keyring, sources)
 
 
