--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -162,7 +162,7 @@
             (HEAD.replace(b"200", b"503"), "status 503"),
             (HEAD + b"0\r\n\r\n", "the response ended"),
             (HEAD + encode_chunk(b"noise\n"), "unreadable: invalid JSON"),
-            (b"noise\r\n\r\n", "no status line"),
+            (b"noise\r\n\r\n", "not an HTTP/1.x status line"),
         ):
             network, lines = Network(endpoint_entry("s-1")), []
             network.proxy.endpoints.watch.log = lambda event, lines=lines, **fields: lines.append(
@@ -640,7 +640,7 @@
 
     def test_endless_event_is_bounded(self):
         events, fed = http.EventStream(), 0
-        with self.assertRaisesRegex(http.MalformedHttpError, "event without an end"):
+        with self.assertRaisesRegex(http.MalformedHttpError, "event exceeds the size limit"):
             while fed < 10 * http.MAX_EVENT_BYTES:
                 list(events.feed(b"data: x\n"))
                 fed += 8
--- a/thymeknot/protocol/http.py
+++ b/thymeknot/protocol/http.py
@@ -95,14 +95,14 @@
     def _line(self, buffer: bytes, at: int, max_bytes: int) -> tuple[bytes | None, int]:
         end = buffer.find(b"\r\n", at, at + max_bytes)
         if end < 0 and len(buffer) - at >= max_bytes:
-            raise MalformedHttpError("line without an end within the size limit")
+            raise MalformedHttpError("line exceeds the size limit")
         return (None, at) if end < 0 else (buffer[at:end], end + 2)
 
     def _head(self, buffer: bytes, at: int) -> Parsed:
         end = buffer.find(b"\r\n\r\n", at, at + MAX_HEAD_BYTES)
         if end < 0:
             if len(buffer) - at >= MAX_HEAD_BYTES:
-                raise MalformedHttpError("response head without an end within the size limit")
+                raise MalformedHttpError("response head exceeds the size limit")
             return None, at
         head = _read_head(buffer[at:end].decode("latin-1"))
         after = end + len(b"\r\n\r\n")
@@ -122,7 +122,7 @@
             self.state = self._until_closed
             return
         if not CONTENT_LENGTH.fullmatch(length) or int(length) > MAX_BODY_BYTES:
-            raise MalformedHttpError("Content-Length is not a number, or too large")
+            raise MalformedHttpError("Content-Length is not a number or is too large")
         self.remaining = int(length)
         self.state = self._sized
 
@@ -184,7 +184,7 @@
     first, *lines = text.split("\r\n")
     words = first.split(" ", 2)
     if len(words) < 2 or not words[0].startswith("HTTP/1.") or not STATUS_CODE.fullmatch(words[1]):
-        raise MalformedHttpError("no status line of HTTP/1.x")
+        raise MalformedHttpError("not an HTTP/1.x status line")
     fields = (line.partition(":") for line in lines)
     headers = {name.strip().lower(): value.strip() for name, _, value in fields}
     return Head(int(words[1]), headers)
@@ -247,7 +247,7 @@
         """Yields the events that this slice completes, as (type, data).
 
         Raises:
-            MalformedHttpError: An event is too large, or a line is no field of an event.
+            MalformedHttpError: An event is too large, or a line is not a field of an event.
         """
         for line in self.lines.feed(content):
             if not line:
@@ -257,7 +257,7 @@
                 continue
             self.size += len(line) + 1
             if self.size > MAX_EVENT_BYTES:
-                raise MalformedHttpError("event without an end within the size limit")
+                raise MalformedHttpError("event exceeds the size limit")
             name, _, text = line.decode("utf-8", "replace").partition(":")
             if name not in EVENT_FIELDS:
                 raise MalformedHttpError("unknown field in an event")
--- a/thymeknot/protocol/http_calls.py
+++ b/thymeknot/protocol/http_calls.py
@@ -161,7 +161,7 @@
         self.calls_in_flight += 1
         call.connector = self.dial(call, call.complete, call.connect_overdue)
         timeout_timer = self.timers.add(
-            self.timers.clock() + timeout, call.give_up, "no answer in time"
+            self.timers.clock() + timeout, call.give_up, "no response in time"
         )
 
         def finished(result: Reply | BrokenConnection) -> Reply | BrokenConnection:
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -32,7 +32,7 @@
 
 
 def read_response(message: Any) -> PodResponse | None:
-    """Returns the response in a RESP message, or None where the message is no valid response."""
+    """Returns the response in a RESP message, or None if the message is not a valid response."""
     if isinstance(message, resp.Failure):
         return PodResponse(None, None, message.text)
     if isinstance(message, list) and message and isinstance(message[0], memoryview):
@@ -55,7 +55,7 @@
 
     def _array(self, buffer: bytes, at: int, length: int, depth: int) -> tuple[Any, int]:
         if depth:
-            raise resp.MalformedRespError("nested array in an answer")
+            raise resp.MalformedRespError("nested array in a response")
         return super()._array(buffer, at, length, depth)
 
 
@@ -141,7 +141,7 @@
     def _read(self, data: bytes) -> None:
         messages, error = self._parse(data)
         if self.pending_response is None or not self.written:
-            self.drop("unsolicited answer")
+            self.drop("unsolicited response")
             return
         response = read_response(messages[0]) if messages else None
         if response is not None:
@@ -153,7 +153,7 @@
             self.begun = ignore
             on_response_started()
         if error or messages:
-            self.drop(error or "unreadable answer")
+            self.drop(error or "unreadable response")
 
     def _parse(self, data: bytes) -> tuple[list[Any], str | None]:
         """Returns the messages that this data completes, and the error after them, if any."""
@@ -162,9 +162,9 @@
         try:
             messages += self.parser.feed(data)
         except resp.MalformedRespError as malformed:
-            error = f"unreadable answer: {malformed}"
+            error = f"unreadable response: {malformed}"
         if self.parser.held > MAX_RESPONSE_BYTES:
-            error = error or f"answer larger than {MAX_RESPONSE_BYTES} bytes"
+            error = error or f"response larger than {MAX_RESPONSE_BYTES} bytes"
         if error:  # an error after a complete value does not invalidate the value
             messages = messages or [[value] for value in self.parser.first_element()]
         return messages, error
@@ -180,7 +180,7 @@
         # Even a late response is reported, since it proves that the request was executed.
         try:
             if self.given_up or excess_data or self.parser.held or not self.is_clean():
-                self.drop("data after the answer, or closed by the endpoint")
+                self.drop("data after the response, or closed by the endpoint")
             else:
                 self.begun = ignore  # an idle connection must not keep the attempt alive
                 self.owner.response_received(self)
