--- a/thymeknot/raft/simulated_cluster.py
+++ b/thymeknot/raft/simulated_cluster.py
@@ -363,7 +363,7 @@
         content = (effect.at, msgspec.msgpack.encode(effect.command))
         if self._committed.setdefault(index, content) != content:
             raise InvariantError(
-                f"{host.name} applied another entry at index {index} than a node before it"
+                f"{host.name} applied a different entry at index {index} than an earlier node"
             )
         previous = self._committed.get(index - 1)
         if previous and previous[0] > effect.at:
@@ -381,7 +381,7 @@
         known_leader = self.leaders.setdefault(node.term, host.name)
         if known_leader != host.name:
             raise InvariantError(
-                f"{host.name} and {known_leader} are both leader in term {node.term}"
+                f"{host.name} and {known_leader} are both leaders in term {node.term}"
             )
         if is_new:
             self.on_new_leader(host)
