--- a/thymeknot/cli/decision_log_commands.py
+++ b/thymeknot/cli/decision_log_commands.py
@@ -54,7 +54,7 @@
     type=click.Path(exists=True, dir_okay=False),
     help="query this log file instead of an instance",
 )
-@click.option("--json", "as_json", is_flag=True, help="print lines of JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON lines")
 @click.pass_context
 def why(context: click.Context, address: str, path: Optional[str], as_json: bool) -> None:
     """Explain how a request (by ID or key) was handled, or query the latest requests."""
--- a/thymeknot/cli/fleet_commands.py
+++ b/thymeknot/cli/fleet_commands.py
@@ -62,7 +62,7 @@
     "--wait/--now",
     default=True,
     show_default=True,
-    help="queue, or be refused, if the budgets are exhausted",
+    help="whether to queue or to be refused if the budgets are exhausted",
 )
 @click.option(
     "--epoch",
--- a/thymeknot/cli/laboratory_commands.py
+++ b/thymeknot/cli/laboratory_commands.py
@@ -56,7 +56,7 @@
 @_size_options
 @click.option("--days", default=8, show_default=True)
 @click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
-@click.option("--keep", type=click.Path(), help="file of results; an existing one is continued")
+@click.option("--keep", type=click.Path(), help="file for the results; an existing file is continued")
 @libraries_from(LABORATORY)
 def lab_compare(
     *, one: str, two: str, seed: int, days: int, workers: int, keep: Optional[str], **size: int
@@ -98,7 +98,7 @@
     "--kinds",
     default="herd,zone",
     show_default=True,
-    help="some of calm, roll, herd, zone, split, join, overload",
+    help="comma-separated: calm, roll, herd, zone, split, join, overload",
 )
 @click.option("--days", default=4, show_default=True, help="number of days of each kind")
 @click.option("--instances", default=60, show_default=True)
--- a/thymeknot/cli/log_commands.py
+++ b/thymeknot/cli/log_commands.py
@@ -18,7 +18,7 @@
     type=click.FloatRange(0.1),
     help="length of an interval, in seconds",
 )
-@click.option("--json", "as_json", is_flag=True, help="print lines of JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON lines")
 def logs(files: Sequence[BinaryIO], every: float, as_json: bool) -> None:
     """Summarize the logs of a fleet, with a FILE for each sidecar."""
     summary = Summary(every)
--- a/thymeknot/load_generator/verdict.py
+++ b/thymeknot/load_generator/verdict.py
@@ -78,7 +78,7 @@
 def evaluate(summary: RunSummary, goal: Goal) -> Evaluation:
     """Compares a run with the goal; the load generator's own delay is checked first."""
     if summary.own_delay > max(MIN_OWN_DELAY_LIMIT, MAX_OWN_DELAY_RATIO * goal.max_latency):
-        reason = f"the load tool itself was {summary.own_delay / 10:.1f} ms late"
+        reason = f"the load generator itself was {summary.own_delay / 10:.1f} ms late"
         return Evaluation(Verdict.SATURATED, reason)
     not_done = summary.ended - summary.done
     if not_done > goal.max_not_done_share * max(1, summary.ended):
