--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -71,7 +71,7 @@
     except KeyringError as error:
         raise CoordinationSettingsError(("fleet",), str(error)) from None
     if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
-        raise CoordinationSettingsError(("fleet", "key"), "belongs to another name in the key ring")
+        raise CoordinationSettingsError(("fleet", "key"), "belongs to another name in the keyring")
     return CoordinationParts(identity, ring, networks, declaration_commands(settings, section))
 
 
