--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -285,7 +285,10 @@
         )
         for peers, expected_error in (
             ([peer("n1", (key, None)), peer("n2", (key, None))], "n1 and n2 have the same key"),
-            ([peer("n1", (key, None)), peer("n1", (KEYS["n2"], None))], "two peers have the same name"),
+            (
+                [peer("n1", (key, None)), peer("n1", (KEYS["n2"], None))],
+                "two peers have the same name",
+            ),
             ([peer("n1", (key, "tomorrow"))], "not a time"),
         ):
             with self.assertRaisesRegex(KeyringError, expected_error):
--- a/thymeknot/decision_log/slot_file.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -195,7 +195,9 @@
     if error_text is not None:
         return error_text
     count = _stored_slot_count(header)
-    return f"{count} slots instead of the configured {slots}" if count != slots else "wrong file size"
+    return (
+        f"{count} slots instead of the configured {slots}" if count != slots else "wrong file size"
+    )
 
 
 def load_slot_file(path: str) -> SlotFile:
