--- a/thymeknot/policy/baseline.py
+++ b/thymeknot/policy/baseline.py
@@ -62,16 +62,16 @@
     """The earlier build's recent outcomes, and the baseline captured before the trial.
 
     Attributes:
-        latency_stats: latencies by request class and machine type.
-        outcomes: window of the earlier build's outcomes.
-        failed: window of those that failed, without network losses.
-        slow: window of those that were slow.
-        errors: window of those that ended with an application error.
-        losses: window of those that were lost in the network.
-        non_retries: window of requests that clients did not mark as retries.
-        rejected: window of requests that were rejected.
-        pre_trial: the captured baseline; None until there is enough traffic for one.
-        earlier_endpoint_count: how many endpoints the earlier build had when the trial began.
+        latency_stats: Latencies by request class and machine type.
+        outcomes: Window of the earlier build's outcomes.
+        failed: Window of those that failed, without network losses.
+        slow: Window of those that were slow.
+        errors: Window of those that ended with an application error.
+        losses: Window of those that were lost in the network.
+        non_retries: Window of requests that clients did not mark as retries.
+        rejected: Window of requests that were rejected.
+        pre_trial: The captured baseline; None until there is enough traffic for one.
+        earlier_endpoint_count: How many endpoints the earlier build had when the trial began.
     """
 
     def __init__(self, context: DecisionContext, test: SequentialTest) -> None:
@@ -106,12 +106,12 @@
         """Adds an outcome of the earlier build, or of a build that is not evaluated.
 
         Args:
-            latency_key: request class and machine type of the attempt.
-            stats: the latencies of that key so far.
-            outcome: how the attempt ended.
-            latency: latency of the attempt, in ticks.
-            slow: whether the attempt was slow.
-            warm: whether its endpoint has warmed up completely.
+            latency_key: Request class and machine type of the attempt.
+            stats: The latencies of that key so far.
+            outcome: How the attempt ended.
+            latency: Latency of the attempt, in ticks.
+            slow: Whether the attempt was slow.
+            warm: Whether its endpoint has warmed up completely.
         """
         now = self.context.now
         if warm and outcome in (Outcome.DONE, Outcome.TIMED_OUT):
--- a/thymeknot/policy/context.py
+++ b/thymeknot/policy/context.py
@@ -59,24 +59,24 @@
     """State that the parts of the decision engine share.
 
     Attributes:
-        settings: the settings, read once at start.
-        now: the time of the events that are being handled.
-        rng: draws all random numbers, in the order of the decisions.
-        actions: the actions decided on so far at this time.
-        reason_callback: receives the reason of each decision; None if they are not recorded.
-        request_id: the request that is being decided on; None for votes.
-        first_traffic_at: when the first request was received; None before.
-        release: the rollout state of the newest build, written by `ReleaseLifecycle`; None before
+        settings: The settings, read once at start.
+        now: The time of the events that are being handled.
+        rng: Draws all random numbers, in the order of the decisions.
+        actions: The actions decided on so far at this time.
+        reason_callback: Receives the reason of each decision; None if they are not recorded.
+        request_id: The request that is being decided on; None for votes.
+        first_traffic_at: When the first request was received; None before.
+        release: The rollout state of the newest build, written by `ReleaseLifecycle`; None before
             the first update.
-        build_state: how the newest build is treated, written by `ReleaseLifecycle`.
-        endpoints: all endpoints by address, written by `EndpointSelection`.
-        by_build: the ready endpoints of the newest build (True) and of earlier ones (False),
+        build_state: How the newest build is treated, written by `ReleaseLifecycle`.
+        endpoints: All endpoints by address, written by `EndpointSelection`.
+        by_build: The ready endpoints of the newest build (True) and of earlier ones (False),
             written by `EndpointSelection`.
-        subsets: the endpoints in use, by the same keys, written by `EndpointSelection`.
-        zones: how many zones the endpoints of the newest build are in, written by
+        subsets: The endpoints in use, by the same keys, written by `EndpointSelection`.
+        zones: How many zones the endpoints of the newest build are in, written by
             `EndpointSelection`.
-        arrivals: window of the requests received.
-        promoted_by_votes: whether votes, rather than a timer, promote a build.
+        arrivals: Window of the requests received.
+        promoted_by_votes: Whether votes, rather than a timer, promote a build.
     """
 
     def __init__(
--- a/thymeknot/policy/endpoint_selection.py
+++ b/thymeknot/policy/endpoint_selection.py
@@ -41,10 +41,10 @@
     """Tracks the endpoints and selects one for each attempt.
 
     Attributes:
-        connection_loss_rate: moving average of the fraction of attempts that fail to connect or
+        connection_loss_rate: Moving average of the fraction of attempts that fail to connect or
             are reset.
-        next_exchange_at: when the most expensive endpoint of each subset is replaced next.
-        next_poll_at: when the endpoint list is polled next, if polling is enabled.
+        next_exchange_at: When the most expensive endpoint of each subset is replaced next.
+        next_poll_at: When the endpoint list is polled next, if polling is enabled.
     """
 
     def __init__(self, context: DecisionContext, slow_start: SlowStart) -> None:
@@ -105,8 +105,8 @@
         If an instance used all of them, it would see too few outcomes of each.
 
         Args:
-            newest: whether to draw from the newest build, or from earlier ones.
-            demoted: endpoints that are ranked last.
+            newest: Whether to draw from the newest build, or from earlier ones.
+            demoted: Endpoints that are ranked last.
         """
         context = self.context
         # The more connections are lost, the fewer endpoints are used.
@@ -245,10 +245,10 @@
         """Updates the relative latency from a successful response and ends any ejection backoff.
 
         Args:
-            endpoint: the endpoint that responded.
-            latency: the response time.
-            fraction: the warm-up fraction of the endpoint's capacity.
-            mean: the mean response time of the request class.
+            endpoint: The endpoint that responded.
+            latency: The response time.
+            fraction: The warm-up fraction of the endpoint's capacity.
+            mean: The mean response time of the request class.
         """
         now = self.context.now
         gain = min(
--- a/thymeknot/policy/engine.py
+++ b/thymeknot/policy/engine.py
@@ -51,8 +51,8 @@
     It contains no policy of its own.
 
     Attributes:
-        context: the state that several policies share.
-        upkeep_interval: ticks between the previous upkeep and the next; 0 before the first.
+        context: The state that several policies share.
+        upkeep_interval: Ticks between the previous upkeep and the next; 0 before the first.
     """
 
     def __init__(
--- a/thymeknot/policy/exposure_budget.py
+++ b/thymeknot/policy/exposure_budget.py
@@ -17,8 +17,8 @@
     """Counts requests received and attempts sent to the newest build in the exposure window.
 
     Attributes:
-        received: windows of requests by class name, or a single one for all classes.
-        sent: windows of attempts to the newest build, by the same keys.
+        received: Windows of requests by class name, or a single one for all classes.
+        sent: Windows of attempts to the newest build, by the same keys.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -53,8 +53,8 @@
         there.
 
         Args:
-            request_class: the class of the request.
-            first: whether it is the request's first attempt, so that the request counts as
+            request_class: The class of the request.
+            first: Whether it is the request's first attempt, so that the request counts as
                 received at the same time.
         """
         context, settings = self.context, self.context.settings
--- a/thymeknot/policy/fleet_evidence.py
+++ b/thymeknot/policy/fleet_evidence.py
@@ -23,8 +23,8 @@
     """Collects the platform's counts and adds those of a period to the tests at once.
 
     Attributes:
-        pending: counts that were received and not yet processed.
-        fleet_baseline: the usual latency and traffic of the whole fleet.
+        pending: Counts that were received and not yet processed.
+        fleet_baseline: The usual latency and traffic of the whole fleet.
     """
 
     def __init__(
@@ -98,9 +98,9 @@
         carry more load for a while.
 
         Args:
-            earlier_attempts: the earlier build's attempts.
-            earlier_failed: how many of them failed.
-            mean_warmup: mean warm-up fraction of the newest build's endpoints.
+            earlier_attempts: The earlier build's attempts.
+            earlier_failed: How many of them failed.
+            mean_warmup: Mean warm-up fraction of the newest build's endpoints.
         """
         rate = min(
             MAX_NULL_RATE,
--- a/thymeknot/policy/global_slowdown.py
+++ b/thymeknot/policy/global_slowdown.py
@@ -20,7 +20,7 @@
 # Below this fraction of the keys the newest build cannot have slowed down all endpoints.
 MIN_BLAMED_FRACTION = 0.15
 MIN_LEARNING_GAIN = 0.25  # minimum weight of a period in the fleet's baseline
-# If a larger fraction was rejected before the trial, rejections are no evidence.
+# If a larger fraction was rejected before the trial, rejections do not count as evidence.
 MAX_USUAL_REJECTED_FRACTION = 0.05
 # Ratio of the abort bound below which the slowdown is over; its negative is the sum's floor.
 EVIDENCE_FLOOR_RATIO = 0.5
@@ -32,8 +32,8 @@
     """Sums the evidence that all endpoints are slower than before the trial.
 
     Attributes:
-        evidence: the sum; above the test's abort bound for slowness, all endpoints are slow.
-        since: when the slowdown began; None if there is none.
+        evidence: The sum; above the test's abort bound for slowness, all endpoints are slow.
+        since: When the slowdown began; None if there is none.
     """
 
     def __init__(self, context: DecisionContext, baseline: Baseline, split: TrafficSplit) -> None:
@@ -52,9 +52,9 @@
         """Adds an outcome at a warm endpoint of any build.
 
         Args:
-            latency_key: request class and machine type of the attempt.
-            outcome: how the attempt ended.
-            latency: latency of the attempt, in ticks.
+            latency_key: Request class and machine type of the attempt.
+            outcome: How the attempt ended.
+            latency: Latency of the attempt, in ticks.
         """
         pre_trial = self.baseline.pre_trial
         stats = pre_trial.latency_stats.get(latency_key) if pre_trial else None
@@ -90,10 +90,10 @@
         """Adds the platform's counts: in a large fleet each instance has too little traffic.
 
         Args:
-            rows: the counts of a period.
-            fleet_baseline: the usual latency and traffic of the fleet; it learns from the counts
+            rows: The counts of a period.
+            fleet_baseline: The usual latency and traffic of the fleet; it learns from the counts
                 unless they are evidence of a slowdown.
-            period_start: when the period began.
+            period_start: When the period began.
         """
         context = self.context
         # After a release half of the machines have left, so more slowness is tolerated.
--- a/thymeknot/policy/hedging.py
+++ b/thymeknot/policy/hedging.py
@@ -18,8 +18,8 @@
     """Decides when a request gets a second attempt while its first one is in flight.
 
     Attributes:
-        budget: the token budget for hedged requests.
-        timers: request ids by the token of their hedging timer.
+        budget: The token budget for hedged requests.
+        timers: Request ids by the token of their hedging timer.
     """
 
     def __init__(self, context: DecisionContext, admission: LoadShedder) -> None:
--- a/thymeknot/policy/idempotency.py
+++ b/thymeknot/policy/idempotency.py
@@ -10,8 +10,8 @@
     """Returns whether the request may be sent again.
 
     Args:
-        request: the request.
-        now: the current time.
+        request: The request.
+        now: The current time.
         by_client: True if the client would retry it after a rejection, at any endpoint; False if
             this instance retries it and selects the endpoint.
     """
--- a/thymeknot/policy/load_shedding.py
+++ b/thymeknot/policy/load_shedding.py
@@ -28,7 +28,7 @@
 INITIAL_BASELINE_LATENCY = 0.2  # of the latency objective, before any response
 BASELINE_WEIGHT = 4  # responses that the baseline latency is weighted as
 IN_TIME_MARGIN = 0.15  # of the distance from the baseline to the objective; slower is overload
-# Ratio of failed attempts to responses up to which the failures are put down to a few endpoints.
+# Ratio of failed attempts to responses up to which the failures are attributed to few endpoints.
 TOLERATED_FAILURE_RATIO = 0.75
 BASELINE_RISE_GAIN = 0.005  # small, so that an overload does not become the baseline
 BASELINE_FALL_GAIN = 0.02
@@ -52,25 +52,25 @@
     by_chance: bool
     """Whether it was shed at random; otherwise the concurrency limit was exceeded."""
     measured: float
-    """The pressure if shed at random, else the number of open requests."""
+    """The pressure if shed at random, otherwise the number of open requests."""
     bound: float
-    """The admission probability if shed at random, else the limit with its margin."""
+    """The admission probability if shed at random, otherwise the limit with its margin."""
 
 
 class LoadShedder:
     """Estimates the load of the endpoints from one instance's view, and admits or rejects.
 
     Attributes:
-        is_large_fleet: whether more than SMALL_FLEET_INSTANCES share the endpoints.
-        min_limit: lower bound of the concurrency limit before the class factor.
-        target_latencies: window of the target latency of each response, in ticks.
-        response_counts: window of the number of successful responses.
-        relative_latencies: window of their latencies, relative to the latency objective.
-        overload_failures: window of the attempts that timed out, were rejected or could not
+        is_large_fleet: Whether more than SMALL_FLEET_INSTANCES share the endpoints.
+        min_limit: Lower bound of the concurrency limit before the class factor.
+        target_latencies: Window of the target latency of each response, in ticks.
+        response_counts: Window of the number of successful responses.
+        relative_latencies: Window of their latencies, relative to the latency objective.
+        overload_failures: Window of the attempts that timed out, were rejected or could not
             connect.
-        baseline_latency: usual response time, relative to the latency objective.
-        mean_latencies: moving average of the response time in ticks, by request class name.
-        request_classes: the request classes with responses, by name.
+        baseline_latency: Usual response time, relative to the latency objective.
+        mean_latencies: Moving average of the response time in ticks, by request class name.
+        request_classes: The request classes with responses, by name.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -92,10 +92,10 @@
         """Records the outcome of an attempt.
 
         Args:
-            now: the current time.
-            request_class: the request's class.
-            event: the end of the attempt.
-            fraction: the warm-up fraction of the endpoint's capacity.
+            now: The current time.
+            request_class: The request's class.
+            event: The end of the attempt.
+            fraction: The warm-up fraction of the endpoint's capacity.
         """
         objective = request_class.latency_objective
         timed_out = (
@@ -130,9 +130,9 @@
         Classes with the lowest priority weight per unit of latency are rejected first.
 
         Args:
-            now: the current time.
-            request_class: the request's class.
-            traffic_age: ticks since the first traffic.
+            now: The current time.
+            request_class: The request's class.
+            traffic_age: Ticks since the first traffic.
         """
         throughput_limit = (
             self.target_latencies.total(now) / min(LOAD_WINDOW, traffic_age)
@@ -168,7 +168,7 @@
         total_weight = responses + BASELINE_WEIGHT
         latency_sum = self.relative_latencies.total(now) + BASELINE_WEIGHT * self.baseline_latency
         tolerated_failures = TOLERATED_FAILURE_RATIO * responses + 0.5
-        if failures + len(open_requests) > tolerated_failures:  # else they cannot matter
+        if failures + len(open_requests) > tolerated_failures:  # otherwise they cannot matter
             failures += sum(
                 now - request.attempts[-1].sent_at
                 > TARGET_LATENCY_RATIO * request.request_class.latency_objective
@@ -197,12 +197,12 @@
         """Returns why the request is rejected; None if it is admitted.
 
         Args:
-            now: the current time.
-            request_class: the request's class.
-            open_requests: the open requests, including this one.
-            traffic_age: ticks since the first traffic.
-            recent_requests: requests in the traffic window.
-            draw: returns a random number; called only if load is shed at random.
+            now: The current time.
+            request_class: The request's class.
+            open_requests: The open requests, including this one.
+            traffic_age: Ticks since the first traffic.
+            recent_requests: Requests in the traffic window.
+            draw: Returns a random number; called only if load is shed at random.
         """
         pressure = self.pressure(now, open_requests)
         limit = self.concurrency_limit(now, request_class, traffic_age)
--- a/thymeknot/policy/request_lifecycle.py
+++ b/thymeknot/policy/request_lifecycle.py
@@ -72,7 +72,7 @@
     """Runs the state machine of each open request.
 
     Attributes:
-        open: requests without a final response or with attempts in flight, by id.
+        open: Requests without a final response or with attempts in flight, by id.
     """
 
     def __init__(
--- a/thymeknot/policy/retry_budget.py
+++ b/thymeknot/policy/retry_budget.py
@@ -12,10 +12,10 @@
     """A token bucket that each request replenishes and each additional attempt draws from.
 
     Attributes:
-        tokens: the tokens left.
-        max_tokens: the bucket's capacity; smaller per instance in a large fleet, because the
+        tokens: The tokens left.
+        max_tokens: The bucket's capacity; smaller per instance in a large fleet, because the
             bursts of its instances add up.
-        tokens_per_request: tokens that a request adds.
+        tokens_per_request: Tokens that a request adds.
     """
 
     def __init__(self, settings: Settings, max_tokens: float, tokens_per_request: float) -> None:
--- a/thymeknot/policy/sequential_test.py
+++ b/thymeknot/policy/sequential_test.py
@@ -70,16 +70,16 @@
     """The sums of the test: failures since the trial began, slowness since the stage began.
 
     Attributes:
-        null_rates: the earlier build's rates, by symptom.
-        abort_bounds: the sums above which a build is worse, by symptom.
-        bounds: the same bounds, raised where a sum at its floor has many chances to rise.
-        sums: the sums of log likelihood ratios, by symptom.
-        sums_without_worst_endpoint: the same sums without the failures of the endpoint with the
+        null_rates: The earlier build's rates, by symptom.
+        abort_bounds: The sums above which a build is worse, by symptom.
+        bounds: The same bounds, raised where a sum at its floor has many chances to rise.
+        sums: The sums of log likelihood ratios, by symptom.
+        sums_without_worst_endpoint: The same sums without the failures of the endpoint with the
             most evidence, if few endpoints serve the newest build.
-        evidence_ratio: the maximum of these sums divided by their bounds; above 1 the build is
+        evidence_ratio: The maximum of these sums divided by their bounds; above 1 the build is
             worse than the earlier one.
-        below_pause_since: since when the evidence ratio has not exceeded PAUSE_RATIO.
-        outcomes: how many outcomes were counted in this stage.
+        below_pause_since: Since when the evidence ratio has not exceeded PAUSE_RATIO.
+        outcomes: How many outcomes were counted in this stage.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -121,9 +121,9 @@
         """Adds an outcome.
 
         Args:
-            symptom: the symptom that is tested.
-            has_symptom: whether the outcome shows the symptom.
-            endpoint: the endpoint that the outcome came from; its contribution, its zone's and
+            symptom: The symptom that is tested.
+            has_symptom: Whether the outcome shows the symptom.
+            endpoint: The endpoint that the outcome came from; its contribution, its zone's and
                 that of each second are capped. None applies no cap.
         """
         step = log_likelihood_ratio(symptom, has_symptom, self.null_rates[symptom])
@@ -201,9 +201,9 @@
     """Returns the log likelihood ratio of an outcome.
 
     Args:
-        symptom: the symptom that is tested.
-        has_symptom: whether the outcome shows the symptom.
-        null_rate: the rate of the symptom if the build is as good as the earlier one.
+        symptom: The symptom that is tested.
+        has_symptom: Whether the outcome shows the symptom.
+        null_rate: The rate of the symptom if the build is as good as the earlier one.
     """
     worse_rate = min(ALTERNATIVE_RATIO[symptom] * null_rate, (1 + null_rate) / 2)
     return log(worse_rate / null_rate) if has_symptom else log((1 - worse_rate) / (1 - null_rate))
--- a/thymeknot/policy/slow_start.py
+++ b/thymeknot/policy/slow_start.py
@@ -5,7 +5,7 @@
 from ..state.sliding_window import SlidingWindow
 from .context import MAX_UPKEEP_INTERVAL, DecisionContext
 
-OVERLOAD_LIMIT_RATIO = 0.5  # of the overload limit; other instances send there unseen
+OVERLOAD_LIMIT_RATIO = 0.5  # of the overload limit: other instances send there as well
 MIN_FLEET_ATTEMPTS = 4  # attempts per window that all instances together may always send
 # With many instances per endpoint, a warming endpoint counts by this power of its warm-up fraction.
 LARGE_FLEET_EXPONENT = 3
@@ -20,10 +20,10 @@
     """Tracks the capacity of the ready endpoints and limits attempts at those that warm up.
 
     Attributes:
-        capacity: minimum capacity of the ready endpoints, as a sum of their sizes, for the newest
+        capacity: Minimum capacity of the ready endpoints, as a sum of their sizes, for the newest
             build (True) and earlier ones (False).
-        warm_capacity: sum of the sizes of the warm endpoints.
-        warm_request_rate: observed responses per second of a warm endpoint of size 1.
+        warm_capacity: Sum of the sizes of the warm endpoints.
+        warm_request_rate: Observed responses per second of a warm endpoint of size 1.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -61,7 +61,7 @@
         """Updates the capacity while endpoints warm up, and the rate of warm endpoints.
 
         Args:
-            elapsed: ticks since the previous upkeep.
+            elapsed: Ticks since the previous upkeep.
         """
         context = self.context
         if context.now <= self._warming_until:
--- a/thymeknot/policy/traffic_split.py
+++ b/thymeknot/policy/traffic_split.py
@@ -23,12 +23,12 @@
     """Decides by key which requests may go to the newest build.
 
     Attributes:
-        fraction: the fraction of the keys that the newest build serves; it never falls during a
+        fraction: The fraction of the keys that the newest build serves; it never falls during a
             stage.
-        fraction_updated_at: when the fraction was last updated.
-        pinned_keys: keys that the newest build has answered and therefore keeps.
-        failing_keys: keys whose requests failed on the newest build in this stage.
-        recent_keys: number of requests by key, halved at regular intervals.
+        fraction_updated_at: When the fraction was last updated.
+        pinned_keys: Keys that the newest build has answered and therefore keeps.
+        failing_keys: Keys whose requests failed on the newest build in this stage.
+        recent_keys: Number of requests by key, halved at regular intervals.
     """
 
     def __init__(self, context: DecisionContext, slow_start: SlowStart) -> None:
@@ -67,7 +67,7 @@
         """Raises the fraction towards what the newest build's ready endpoints can carry.
 
         Args:
-            all_slow: whether there is a global slowdown; in a large fleet the fraction then stays.
+            all_slow: Whether there is a global slowdown; in a large fleet the fraction then stays.
         """
         context = self.context
         if not context.newest_accepts_requests():
--- a/thymeknot/policy/trial_evidence.py
+++ b/thymeknot/policy/trial_evidence.py
@@ -24,7 +24,7 @@
 MIN_WARMUP_FRACTION = 0.75
 
 NEUTRAL_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT))
-"""Outcomes that are no evidence about a build."""
+"""Outcomes that do not count as evidence about a build."""
 
 
 class Exclusion(StrEnum):
@@ -43,9 +43,9 @@
     """Passes outcomes on to the baseline, the sequential test and the global slowdown.
 
     Attributes:
-        attempts: attempts to the newest build that ended, for the log.
-        failed: how many of them failed and count as evidence.
-        excluded: how many of them do not count as evidence, by reason.
+        attempts: Attempts to the newest build that ended, for the log.
+        failed: How many of them failed and count as evidence.
+        excluded: How many of them do not count as evidence, by reason.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
     def _exclusion(
         self, key: str, outcome: Outcome, fraction: float, comparable: bool
     ) -> Exclusion | None:
-        """Returns why the outcome is no evidence about the newest build; None if it is.
+        """Returns why the outcome is not evidence about the newest build; None if it is.
 
         Timeouts of cold endpoints are excluded, and network losses unless the earlier build shows
         that the network is reliable. A key that fails repeatedly counts as one failure.
--- a/thymeknot/policy/voting.py
+++ b/thymeknot/policy/voting.py
@@ -36,7 +36,7 @@
 VOTE_BURST_SPAN = 2 * TICKS_PER_SECOND
 # Ticks that a global slowdown may last before the newest build is blamed: it may be transient.
 SLOWDOWN_TOLERANCE = 5 * TICKS_PER_SECOND
-# The same where machines are replaced in place, which takes capacity away meanwhile.
+# The same if machines are replaced in place, which reduces the capacity meanwhile.
 SLOWDOWN_TOLERANCE_IN_PLACE = 12 * TICKS_PER_SECOND
 # Counting periods without counts from the platform after which none are awaited.
 MAX_AWAITED_PERIODS = 3
@@ -75,18 +75,18 @@
     """Casts, renews and withdraws this instance's vote on the newest build.
 
     Attributes:
-        vote: the vote that the platform has accepted; None if there is none.
-        vote_cast_at: when the platform accepted it.
-        last_cast: the vote cast last, whether or not the platform responded.
-        next_check_at: when to check again whether a vote is due.
-        turn_offset: ticks by which this instance's vote for promotion is staggered; negative for
+        vote: The vote that the platform has accepted; None if there is none.
+        vote_cast_at: When the platform accepted it.
+        last_cast: The vote cast last, whether or not the platform responded.
+        next_check_at: When to check again whether a vote is due.
+        turn_offset: Ticks by which this instance's vote for promotion is staggered; negative for
             the first votes, which may come before the endpoints have warmed up.
-        first_started: the start time under which each endpoint of the newest build was first
+        first_started: The start time under which each endpoint of the newest build was first
             listed, by address.
-        warmup_wait: ticks after its start until an endpoint is warm enough to be evaluated.
-        fleet_vote_span: ticks that the platform needs to take one vote of every instance.
-        staggered_span: the part of it over which votes beyond the burst are spread.
-        renewal_age: age at which an accepted vote is renewed, in ticks.
+        warmup_wait: Ticks after its start until an endpoint is warm enough to be evaluated.
+        fleet_vote_span: Ticks that the platform needs to take one vote of every instance.
+        staggered_span: The part of it over which votes beyond the burst are spread.
+        renewal_age: Age at which an accepted vote is renewed, in ticks.
     """
 
     def __init__(
@@ -182,7 +182,7 @@
             self.first_started.setdefault(listed.address, listed.started)
             for listed in newest_endpoints
         ]
-        # In-place replacement removes the earlier build's endpoints late, so their present number
+        # In-place replacement removes the earlier build's endpoints late, so their current number
         # does not tell how many there were.
         expected_endpoints = (
             self.baseline.earlier_endpoint_count
