--- a/thymeknot/state/endpoint_state.py
+++ b/thymeknot/state/endpoint_state.py
@@ -16,21 +16,21 @@
     """The state of an endpoint as this instance sees it.
 
     Attributes:
-        listed: the endpoint as service discovery lists it.
-        in_flight: number of attempts of this instance that have not ended.
-        relative_latency: moving average of the response time, relative to the request class's mean.
-        failure_rate: moving average of the fraction of attempts that failed.
-        last_outcome_at: time of the last outcome, or of the last decay for lack of outcomes.
-        load: the last reported utilisation.
-        recent_attempts: attempts of this instance within the overload window.
-        last_response_at: time of the last successful response.
-        ejected_until: until then it is used last, because connecting to it failed.
-        ejection_duration: duration of the last ejection; 0 after a successful response.
-        suspected_until: until then it is used last, because peers saw it fail.
-        random_share: index of an overload window, and the random addition, from 0 to 1, to this
+        listed: The endpoint as service discovery lists it.
+        in_flight: Number of attempts of this instance that have not ended.
+        relative_latency: Moving average of the response time, relative to the request class's mean.
+        failure_rate: Moving average of the fraction of attempts that failed.
+        last_outcome_at: Time of the last outcome, or of the last decay for lack of outcomes.
+        load: The last reported utilisation.
+        recent_attempts: Attempts of this instance within the overload window.
+        last_response_at: Time of the last successful response.
+        ejected_until: Until then it is used last, because connecting to it failed.
+        ejection_duration: Duration of the last ejection; 0 after a successful response.
+        suspected_until: Until then it is used last, because peers saw it fail.
+        random_share: Index of an overload window, and the random addition, from 0 to 1, to this
             instance's share of the endpoint's warm-up capacity in that window.
-        subset_rank: rank by which the subset in use is chosen; None before the first draw.
-        on_newest_build: whether it runs the newest build; None if it is not ready.
+        subset_rank: Rank by which the subset in use is chosen; None before the first draw.
+        on_newest_build: Whether it runs the newest build; None if it is not ready.
     """
 
     def __init__(self, listed: Endpoint, overload_window: Ticks) -> None:
@@ -101,9 +101,9 @@
     """Orders endpoints by rank; new endpoints get a random rank among the existing ones.
 
     Args:
-        endpoints: the endpoints to order.
-        demoted: the endpoints to move to the end.
-        random_source: draws the ranks of new endpoints.
+        endpoints: The endpoints to order.
+        demoted: The endpoints to move to the end.
+        random_source: Draws the ranks of new endpoints.
     """
     lowest_rank = int(
         min((state.subset_rank for state in endpoints if state.subset_rank is not None), default=0)
@@ -122,9 +122,9 @@
     """Returns the age at which an endpoint has reached a fraction of its capacity.
 
     Args:
-        fraction: the fraction of the capacity, from 0 to 1.
-        settings: the warm-up's duration and initial fraction.
-        max_age: upper bound of the result, in ticks.
+        fraction: The fraction of the capacity, from 0 to 1.
+        settings: The warm-up's duration and initial fraction.
+        max_age: Upper bound of the result, in ticks.
     """
     return min(
         max_age,
--- a/thymeknot/state/fleet_baseline.py
+++ b/thymeknot/state/fleet_baseline.py
@@ -56,10 +56,10 @@
     """Learns the usual latency and traffic of the fleet from the platform's periodic counts.
 
     Attributes:
-        request_classes: baselines by request class name.
-        outcomes: successful attempts that all baselines were learned from.
-        last_period_end: end of the last reported period; None before the first.
-        period: duration of a period in ticks; 0 if not known yet.
+        request_classes: Baselines by request class name.
+        outcomes: Successful attempts that all baselines were learned from.
+        last_period_end: End of the last reported period; None before the first.
+        period: Duration of a period in ticks; 0 if not known yet.
     """
 
     def __init__(self) -> None:
@@ -82,9 +82,9 @@
         """Returns whether the counts of a period that ends at `earliest_end` or later are expected.
 
         Args:
-            earliest_end: the earliest end of the period to wait for.
-            now: the current time.
-            max_periods: number of periods without counts after which none are awaited.
+            earliest_end: The earliest end of the period to wait for.
+            now: The current time.
+            max_periods: Number of periods without counts after which none are awaited.
         """
         return (
             self.last_period_end is not None
@@ -109,8 +109,8 @@
         """Updates the baselines with the counts of a period.
 
         Args:
-            rows: the counts.
-            gain: minimum weight of a period; the first periods are weighted by their outcomes.
+            rows: The counts.
+            gain: Minimum weight of a period; the first periods are weighted by their outcomes.
         """
         totals, all_attempts = totals_by_class(rows)
         for request_class, (succeeded, mean, _) in totals.items():
--- a/thymeknot/state/request_state.py
+++ b/thymeknot/state/request_state.py
@@ -16,13 +16,13 @@
     """A request without a final response, or with attempts still in flight.
 
     Attributes:
-        id: identifier of the request, as the engine's host knows it.
-        key: the request's key, or its id if it has none.
-        state: its phase, one of `policy.request_lifecycle.RequestPhase`.
-        deadline: time until which the client waits.
-        latency_deadline: time until which a response meets the latency objective.
-        streaming: whether the first byte of its response was sent to the client.
-        attempts: in order of sending; an attempt's number is its index.
+        id: Identifier of the request, as the engine's host knows it.
+        key: The request's key, or its id if it has none.
+        state: Its phase, one of `policy.request_lifecycle.RequestPhase`.
+        deadline: Time until which the client waits.
+        latency_deadline: Time until which a response meets the latency objective.
+        streaming: Whether the first byte of its response was sent to the client.
+        attempts: In order of sending; an attempt's number is its index.
     """
 
     def __init__(
@@ -50,11 +50,11 @@
     """An attempt, with the endpoint as listed at the time of sending.
 
     Attributes:
-        endpoint_state: the current state of the endpoint.
-        endpoint: the endpoint as it was listed when the attempt was sent.
-        sent_at: time of sending.
-        in_flight: whether the attempt has not ended.
-        may_have_run: whether the attempt has not been proved not to have run.
+        endpoint_state: The current state of the endpoint.
+        endpoint: The endpoint as it was listed when the attempt was sent.
+        sent_at: Time of sending.
+        in_flight: Whether the attempt has not ended.
+        may_have_run: Whether the attempt has not been proved not to have run.
     """
 
     def __init__(self, endpoint_state: EndpointState, now: Ticks) -> None:
--- a/thymeknot/state/timer_queue.py
+++ b/thymeknot/state/timer_queue.py
@@ -15,7 +15,7 @@
 
     Attributes:
         clock: Returns the monotonic time in ticks.
-        wake: wake(seconds, call, *arguments) schedules a call on the event loop.
+        wake: Schedules a call on the event loop: wake(seconds, call, *arguments).
         fault: Called as fault(where, error) if a callback raises.
         pending: Callback and arguments of each pending timer, by timer number.
     """
