--- a/thymeknot/protocol/deployer.py
+++ b/thymeknot/protocol/deployer.py
@@ -171,7 +171,8 @@
 def read_vote_reply(build: int, result: Reply | BrokenConnection) -> ReleaseUpdate:
     """Returns the release update that reports the result of a vote, however the call ended.
 
-    Only a valid response with status 200 has the rollout's state; else only the outcome is set.
+    Only a valid response with status 200 has the rollout's state; otherwise only the outcome is
+    set.
     """
     if isinstance(result, Reply):
         fields = xml_leaves(result.body.decode("utf-8", "replace"))
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -130,7 +130,7 @@
     limit would serve nobody if each sidecar retried within a second.
 
     Attributes:
-        caller: The present address.
+        caller: The current address.
         timers: The timer queue.
         silence_timeout: A stream without a heartbeat for this long counts as broken.
         first_data_timeout: The initial timeout of a stream's first data.
@@ -234,7 +234,7 @@
         return stream is self.current or stream is self.pending
 
     def _is_healthy(self) -> bool:
-        """Returns whether the current stream is at the present address and not silent."""
+        """Returns whether the current stream is at the current address and not silent."""
         return (
             self.current is not None
             and self.current.caller is self.caller
@@ -298,7 +298,7 @@
             self.start()
 
     def _check_silence(self) -> None:
-        """Requests another stream if the current one is silent; else checks again later."""
+        """Requests another stream if the current one is silent; otherwise checks again later."""
         self.silence_timer = None
         silent_at = self.last_heartbeat + self.silence_timeout
         if self.current is None:
