--- a/thymeknot/interface/events.py
+++ b/thymeknot/interface/events.py
@@ -82,7 +82,7 @@
 
 
 class SuspicionReported(NamedTuple):
-    """Peers have observed failures of this process of an endpoint."""
+    """Peers have observed failures at an endpoint's current process."""
 
     endpoint: str
     build: int
--- a/thymeknot/interface/reasons.py
+++ b/thymeknot/interface/reasons.py
@@ -40,7 +40,7 @@
     OVER_LIMIT = 14
     """More requests are in flight than can be served in time: requests in flight, limit."""
     BY_LOT = 15
-    """Random load shedding while responses are slow: pressure, random share."""
+    """Load was shed at random while responses are slow: pressure, admission probability."""
     NO_NEWS = 16
     """No release update has been received yet."""
     MOST_DELIVERIES = 17
@@ -62,6 +62,6 @@
     LEFT = 25
     """The client disconnected."""
     VOTED = 26
-    """A vote was cast: build, stage, verdict, doubt, seen."""
+    """A vote was cast: build, stage, verdict, evidence ratio, number of outcomes."""
     SECOND_COPY = 27
     """A hedged request was sent in parallel to a slow attempt: wait."""
--- a/thymeknot/interface/settings.py
+++ b/thymeknot/interface/settings.py
@@ -45,7 +45,7 @@
     """The fraction of its capacity that an endpoint has when it starts."""
     warmup_duration: Ticks
     overload_factor: float
-    """A warming endpoint fails under a load of this many times its present capacity."""
+    """A warming endpoint fails under a load of this many times its current capacity."""
     overload_window: Ticks
     """How long it withstands that load."""
     exposure_window: Ticks
--- a/thymeknot/polling/adaptive_interval.py
+++ b/thymeknot/polling/adaptive_interval.py
@@ -50,8 +50,8 @@
 
 # (state, result) -> next state, and the increment of the consecutive refusals (None resets them to
 # 0). A refusal means that all callers together call too often; a lost connection does not, and
-# changes nothing. One malformed response may be an exception; after a second one the service does
-# not merit two calls per second.
+# changes nothing. One malformed response may be an exception; after a second one, two calls per
+# second are too many for the service.
 TRANSITIONS: dict[tuple[IntervalState, CallResult], tuple[IntervalState, int | None]] = {
     (IntervalState.REGULAR, CallResult.REFUSED): (IntervalState.BACKING_OFF, 1),
     (IntervalState.REGULAR, CallResult.LOST): (IntervalState.REGULAR, 0),
@@ -94,7 +94,7 @@
         Args:
             result: How it ended.
             age: Ticks since the call. A refusal or malformed data after ESTABLISHED_AFTER is
-                no sign of overload.
+                not a sign of overload.
 
         Returns:
             The wait in ticks before the next call.
--- a/thymeknot/simulator_wire/host.py
+++ b/thymeknot/simulator_wire/host.py
@@ -25,7 +25,7 @@
 
 
 ENGINE_FACTORY: Callable[[Settings, int, Ticks], Engine] = DecisionEngine
-"""Creates the engine of a new instance from its settings, its seed and the present time."""
+"""Creates the engine of a new instance from its settings, its seed and the current time."""
 
 
 class IncompleteCensus(NamedTuple):
