--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -51,7 +51,7 @@
     RECIPIENT = "recipient"  # addressed to another instance
     REPLAY = "replay"
     SIGNATURE = "signature"
-    UNPROVED = "unproved"  # the sender has not proved its present start
+    UNPROVED = "unproved"  # the sender has not proved its current start
     LAPSED = "lapsed"  # too old, or about something unknown here
     EQUIVOCATION = "lie"  # two items with the same number and different content
 
--- a/thymeknot/gossip/item_exchange.py
+++ b/thymeknot/gossip/item_exchange.py
@@ -14,7 +14,7 @@
 from .prober import Prober
 from .rate_limits import SendPurpose
 
-MAX_PENDING_ITEMS = 256  # held until their origins prove their present start
+MAX_PENDING_ITEMS = 256  # held until their origins prove their current start
 MAX_PENDING_ITEMS_PER_ORIGIN = 8
 MAX_PENDING_AGE = 5 * TICKS_PER_SECOND
 # An item may be dated in the future by this much, beyond the error of the measured clock offset.
@@ -23,7 +23,7 @@
 
 
 class PendingItem(NamedTuple):
-    """An item that is held until its origin proves its present start.
+    """An item that is held until its origin proves its current start.
 
     Attributes:
         received_at: When it was received.
@@ -40,7 +40,7 @@
     """Processes items of other instances.
 
     Attributes:
-        pending: Items held until their origin proves its present start, the oldest first.
+        pending: Items held until their origin proves its current start, the oldest first.
     """
 
     def __init__(self, context: GossipContext, prober: Prober, hints: PeerHints) -> None:
@@ -138,7 +138,7 @@
         return ("Evidence", body.endpoint_id) if used else None
 
     def _apply_suspect(self, now: Ticks, origin: Member, body: Suspect) -> bool:
-        """Records a suspicion and returns whether it concerns the subject's present start."""
+        """Records a suspicion and returns whether it concerns the subject's current start."""
         context = self._context
         if body.subject == context.local.name:
             self._refute(now, body)
@@ -151,7 +151,7 @@
         return True
 
     def _refute(self, now: Ticks, body: Suspect) -> None:
-        """Refutes a suspicion of the present incarnation by announcing a higher one."""
+        """Refutes a suspicion of the current incarnation by announcing a higher one."""
         context = self._context
         local = context.local
         if body.start == local.start and body.incarnation >= local.incarnation:
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -156,7 +156,7 @@
 class Member:
     """A peer in the keyring as this instance knows it.
 
-    Its messages are ignored until it has proved its present start by answering a nonce of this
+    Its messages are ignored until it has proved its current start by answering a nonce of this
     instance.
 
     Attributes:
@@ -166,7 +166,7 @@
         start: Id of the proved start, or None.
         incarnation: Incarnation within the start.
         offset: Offset of its clock.
-        state_since: When the present state began.
+        state_since: When the current state began.
         missed_probes: Number of consecutive own probes that it did not answer.
         suspecting_groups: Time of the latest suspicion by each group.
         last_probe_at: When it was last probed.
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -210,7 +210,7 @@
             self.prober.probe(now, seed, None, SendPurpose.PROVE)
 
     def _seeds_to_probe(self, now: Ticks) -> Sequence[Address]:
-        """Returns the seeds to probe: all while no member is live, else one per interval.
+        """Returns the seeds to probe: all while no member is live, otherwise one per interval.
 
         A live member does not mean that all peers are known. If instances stopped probing seeds,
         parts of a fleet that started during a network partition would never find each other.
@@ -229,7 +229,7 @@
         return name is not None and self._is_alive(name)
 
     def _is_current(self, item: QueuedItem, unix: float) -> bool:
-        """Returns whether an item's key is valid and it belongs to its origin's present start."""
+        """Returns whether an item's key is valid and it belongs to its origin's current start."""
         if self.context.keyring.owner(item.key_id, unix) != item.origin:
             return False
         member = self.members.all.get(item.origin)
--- a/thymeknot/gossip/rate_limits.py
+++ b/thymeknot/gossip/rate_limits.py
@@ -84,7 +84,7 @@
         self.refused = 0
 
     def try_send(self, now: Ticks, size: int, purpose: SendPurpose) -> bool:
-        """Takes a datagram of `size` bytes from the limits if they allow it; returns whether."""
+        """Counts a datagram of `size` bytes if the limits allow it; returns whether they do."""
         reserved = self.RESERVED_SHARES[purpose]
         for bucket, amount in ((self._bytes, size), (self._datagrams, 1)):
             if not bucket.has_tokens(now, amount + reserved * (bucket.burst - amount)):
--- a/thymeknot/gossip/receiver.py
+++ b/thymeknot/gossip/receiver.py
@@ -3,7 +3,7 @@
 Checks run in the order of their cost, so that an unwanted datagram costs as little as possible:
 size, version, network, key id, budget of the source address, encoding, sequence number, signature.
 The content of a peer's datagrams is ignored until the peer has answered a nonce of this instance
-under its present start; datagrams of another start are treated like a stranger's.
+under its current start; datagrams of another start are treated like those of an unknown sender.
 """
 
 from typing import NamedTuple
--- a/thymeknot/gossip/settings.py
+++ b/thymeknot/gossip/settings.py
@@ -1,6 +1,6 @@
-"""Gossip settings as records. Durations are in ticks. See operator/schema.
+"""Gossip settings as records. Durations are in ticks.
 
-Field names are the keys of the operator file.
+Field names are the keys of the operator file; see operator_config/schema/gossip.cue.
 """
 
 from typing import NamedTuple, Optional
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -126,7 +126,7 @@
         self.max_datagrams = max(self.max_datagrams, self._datagrams)
 
     def reset(self) -> None:
-        """Resets the peaks; counting of the present second continues."""
+        """Resets the peaks; counting of the current second continues."""
         self.max_bytes = 0
         self.max_datagrams = 0
 
