--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -68,7 +68,7 @@
 
         Args:
             identity: The name and private key that the client signs with.
-            ring: The key ring with the public keys of the nodes.
+            ring: The keyring with the public keys of the nodes.
             addresses: HOST:PORT of each node, by name.
             client_name: Distinguishes this client from others of the same identity.
             incarnation: A number that grows with each client of the same name.
@@ -241,7 +241,7 @@
 
 
 def _is_final(response: dict[str, Any], name: str) -> bool:
-    """Whether the leader itself rejected the request for good, so that a retry is useless."""
+    """Returns whether the leader itself rejected the request, so that a retry is useless."""
     return (
         response.get("again", 0) is None
         and not response.get("unknown")
--- a/thymeknot/coordination/cluster_clock.py
+++ b/thymeknot/coordination/cluster_clock.py
@@ -66,7 +66,7 @@
         )
 
     def _propose_declaration(self) -> None:
-        """Proposes the declaration if that in the state machine has a lower epoch."""
+        """Proposes the declaration if the one in the state machine has a lower epoch."""
         now = self.timers.clock()
         if self.member.machine.epoch >= self.epoch:
             return
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -1,4 +1,4 @@
-"""Assembles the feature: identity, key ring, channels, Raft node, cluster clock and drain agent."""
+"""Assembles the feature: identity, keyring, channels, Raft node, cluster clock and drain agent."""
 
 import os
 import secrets
@@ -161,7 +161,7 @@
     def reconfigure(
         self, new_settings: tuple[CoordinationSettings, dict[str, Any]], folder: str
     ) -> None:
-        """Applies the key ring and the networks of new settings; all other changes need a restart.
+        """Applies the keyring and the networks of new settings; all other changes need a restart.
 
         Args:
             new_settings: The section of the new file as a record, and as plain values.
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -31,7 +31,7 @@
         reactor: Twisted's event loop.
         timers: The timer queue of the sidecar.
         identity: This instance's name and private key.
-        ring: Returns the current key ring, which a reload replaces.
+        ring: Returns the current keyring, which a reload replaces.
     """
 
     reactor: IReactorTCP
@@ -131,7 +131,7 @@
 
 
 def _has_data(storage: RaftStorage) -> bool:
-    """Whether a node has used this storage before."""
+    """Returns whether a node has used this storage before."""
     if os.path.isdir(storage.folder) and os.listdir(storage.folder):
         return True
     return os.path.exists(storage.lineage_path)
--- a/thymeknot/coordination/settings.py
+++ b/thymeknot/coordination/settings.py
@@ -45,7 +45,7 @@
     """A Raft node, one of `keepers` in the operator file.
 
     Attributes:
-        name: Its name in the key ring.
+        name: Its name in the keyring.
         address: HOST:PORT at which this instance reaches it.
         keys: Its public keys.
     """
@@ -59,7 +59,7 @@
     """The section `fleet` of an operator file.
 
     Attributes:
-        name: This instance's name in the key ring.
+        name: This instance's name in the keyring.
         key: File of the private key, relative to the operator file.
         data: Data folder, on a persistent disk; no other instance may use it.
         lineage: File by which an outdated copy of `data` is recognized.
@@ -97,7 +97,7 @@
     tick: Ticks
 
     def ring_peers(self) -> tuple[Peer, ...]:
-        """Returns all identities of the key ring: the Raft nodes and the other peers."""
+        """Returns all identities of the keyring: the Raft nodes and the other peers."""
         return (*(Peer(node.name, None, node.keys) for node in self.keepers), *self.peers)
 
     def own_node(self) -> Optional[NodeSettings]:
