--- a/thymeknot/raft/model_checker.py
+++ b/thymeknot/raft/model_checker.py
@@ -146,7 +146,7 @@
     def check_recovery(self) -> None:
         """Stops the faults and checks that the cluster acknowledges new writes.
 
-        It need not if too few voters have their disks.
+        New writes are not required if too few voters have their disks.
 
         Raises:
             LivenessError: No new writes are acknowledged.
--- a/thymeknot/raft/proposals.py
+++ b/thymeknot/raft/proposals.py
@@ -131,7 +131,7 @@
         )
 
     def reject_all(self, reason: str) -> None:
-        """Answers the pending commands as of unknown outcome: a new leader may commit them."""
+        """Rejects the pending commands with an unknown outcome: a new leader may commit them."""
         retry_after = self._state.settings.election_timeout.maximum
         for pending in self._pending.values():
             self._state.outbox.emit(
--- a/thymeknot/raft/replication.py
+++ b/thymeknot/raft/replication.py
@@ -66,7 +66,7 @@
 
 
 class Replication:
-    """The peers of a leader and their progress. Without peers while this node doesn't lead."""
+    """The peers of a leader and their progress. It has no peers while this node doesn't lead."""
 
     def __init__(self, state: NodeState) -> None:
         self.state = state
@@ -200,7 +200,7 @@
     def _record_response(
         self, now: Ticks, event: MessageReceived[AppendResponse | SnapshotChunkResponse]
     ) -> Peer | None:
-        """Records what every response tells; returns the peer, or None for an unknown sender."""
+        """Records what every response contains; returns the peer, or None for an unknown sender."""
         sender, response = event
         peer = self.peers.get(sender)
         if peer is None:
