--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -72,9 +72,9 @@
     """A command that was sent and has no reply yet.
 
     Attributes:
-        sent_at: when it was sent, on the agent's clock.
-        name: the command's name.
-        fencing_token: the permit's fencing token for a begin command, otherwise 0.
+        sent_at: When it was sent, on the agent's clock.
+        name: The command's name.
+        fencing_token: The permit's fencing token for a begin command, otherwise 0.
     """
 
     sent_at: Ticks
@@ -96,24 +96,24 @@
     Times are ticks of the process's monotonic clock, except `last_agreed_time`.
 
     Attributes:
-        unit: the unit's name.
-        incarnation: increases with each start of the process.
-        build: the build that the unit runs.
-        settings: the operator's settings.
-        state: the agent's state.
-        fault: why the unit cannot return to service, or None.
-        last_agreed_time: the newest agreed time received.
-        last_contact_at: when the newest command that has a reply was sent, or None.
-        last_command_token: the token of the newest command.
-        pending_commands: commands without a reply, by token.
-        next_report_at: when the next status report is due.
-        fencing_token: the fencing token of the current or last permit.
-        permit_until: when the permit lapses.
-        epoch: the epoch of the plan that requested the permit.
-        target_build: the build to return with, or empty.
-        last_spent_token: permits with a fencing token up to this one are no longer valid.
-        plan_epochs: the highest epoch seen for each plan, from orders to begin.
-        actions: actions to be returned by the current call.
+        unit: The unit's name.
+        incarnation: Increases with each start of the process.
+        build: The build that the unit runs.
+        settings: The operator's settings.
+        state: The agent's state.
+        fault: Why the unit cannot return to service, or None.
+        last_agreed_time: The newest agreed time received.
+        last_contact_at: When the newest command that has a reply was sent, or None.
+        last_command_token: The token of the newest command.
+        pending_commands: Commands without a reply, by token.
+        next_report_at: When the next status report is due.
+        fencing_token: The fencing token of the current or last permit.
+        permit_until: When the permit lapses.
+        epoch: The epoch of the plan that requested the permit.
+        target_build: The build to return with, or empty.
+        last_spent_token: Permits with a fencing token up to this one are no longer valid.
+        plan_epochs: The highest epoch seen for each plan, from orders to begin.
+        actions: Actions to be returned by the current call.
     """
 
     def __init__(  # noqa: PLR0917 (callers pass them by position)
@@ -161,7 +161,10 @@
         return self.settings.bound - self.settings.bound * self.settings.drift // 1000
 
     def is_frozen(self, now: Ticks) -> bool:
-        """Whether no command sent within the bound has a reply; no disruption may begin then."""
+        """Returns whether no command sent within the bound has a reply.
+
+        No disruption may begin then.
+        """
         return self.last_contact_at is None or now - self.last_contact_at > self.local_bound()
 
     # Inputs; each returns the actions that the process has to carry out.
@@ -208,8 +211,8 @@
         """Records that the work that needed the disruption is done or abandoned; the unit returns.
 
         Args:
-            now: the agent's monotonic clock.
-            build: the build to return with, or empty to keep the current one.
+            now: The agent's monotonic clock.
+            build: The build to return with, or empty to keep the current one.
         """
         self.target_build = build
         self._transition(AgentInput.DONE, now)
--- a/thymeknot/disruption/agent_transitions.py
+++ b/thymeknot/disruption/agent_transitions.py
@@ -56,8 +56,8 @@
     """The result of an input in a state.
 
     Attributes:
-        state: the next state.
-        effect: what the agent sends or does.
+        state: The next state.
+        effect: What the agent sends or does.
     """
 
     state: AgentState
--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -47,11 +47,11 @@
     """A declared budget.
 
     Attributes:
-        name: the budget's name.
-        selector: the units that it covers.
-        each: the label to whose values the limit applies separately, or None.
-        kind: the kind of limit.
-        amount: the limit: a fraction for SHARE, otherwise a number of units.
+        name: The budget's name.
+        selector: The units that it covers.
+        each: The label to whose values the limit applies separately, or None.
+        kind: The kind of limit.
+        amount: The limit: a fraction for SHARE, otherwise a number of units.
     """
 
     name: str
@@ -86,17 +86,17 @@
     """The usage of a budget, or of a budget with `each` for one value of the label.
 
     Attributes:
-        name: the budget's name, followed by a slash and the label's value if the budget has `each`.
-        selector: the units that it covers.
-        kind: the kind of limit.
-        amount: the limit as declared.
-        size: the number of units that it covers.
-        allowed: how many of them may be unavailable.
-        unavailable: names of the unavailable units, in the order in which they became unavailable.
-        reserved: capacity reserved for the request that has waited longest: 0 or 1.
-        within_limit: whether at most `allowed` units are unavailable. Initially False: units that
+        name: The budget's name, followed by a slash and the label's value if the budget has `each`.
+        selector: The units that it covers.
+        kind: The kind of limit.
+        amount: The limit as declared.
+        size: The number of units that it covers.
+        allowed: How many of them may be unavailable.
+        unavailable: Names of the unavailable units, in the order in which they became unavailable.
+        reserved: Capacity reserved for the request that has waited longest: 0 or 1.
+        within_limit: Whether at most `allowed` units are unavailable. Initially False: units that
             were never reported count as unavailable, but must not be taken for a crash.
-        restored_at: agreed time since which the usage is within its limit.
+        restored_at: Agreed time since which the usage is within its limit.
     """
 
     __slots__ = (
@@ -125,11 +125,11 @@
         self.restored_at: Ticks = 0
 
     def is_exceeded(self) -> bool:
-        """Whether more than `allowed` units are unavailable."""
+        """Returns whether more than `allowed` units are unavailable."""
         return len(self.unavailable) > self.allowed
 
     def would_exceed(self, name: str) -> bool:
-        """Whether disrupting this unit would exceed the limit, reserved capacity included."""
+        """Returns whether disrupting this unit would exceed the limit, with reserved capacity."""
         unavailable = self.unavailable
         return len(unavailable) + self.reserved + (name not in unavailable) > self.allowed
 
@@ -154,8 +154,8 @@
     """The usages of all budgets.
 
     Attributes:
-        by_name: all usages by name.
-        by_unit: for each unit's name, the usages that cover it, in the order of the budgets.
+        by_name: All usages by name.
+        by_unit: For each unit's name, the usages that cover it, in the order of the budgets.
     """
 
     by_name: dict[str, BudgetUsage]
@@ -166,7 +166,7 @@
     """Parses a declared budget.
 
     Raises:
-        CommandRejectedError: the budget is malformed; the sentence names the budget.
+        CommandRejectedError: The budget is malformed; the sentence names the budget.
     """
     name = declared.get("name") if isinstance(declared, dict) else None
     if not isinstance(name, str) or not is_valid_name(name):
@@ -207,11 +207,11 @@
     """Creates the usages of all budgets; all units count as available.
 
     Args:
-        budgets: the budgets.
-        units: labels by unit name.
+        budgets: The budgets.
+        units: Labels by unit name.
 
     Raises:
-        CommandRejectedError: a budget selects no unit, there are too many usages, or a budget
+        CommandRejectedError: A budget selects no unit, there are too many usages, or a budget
             never allows a disruption, so that a release would wait for it forever.
     """
     usages = BudgetUsages({}, {name: [] for name in units})
--- a/thymeknot/disruption/command_reader.py
+++ b/thymeknot/disruption/command_reader.py
@@ -50,8 +50,8 @@
     """The values that a field allows.
 
     Attributes:
-        is_valid: tells whether a value is allowed.
-        expected: the allowed values in words, for rejections.
+        is_valid: Tells whether a value is allowed.
+        expected: The allowed values in words, for rejections.
     """
 
     is_valid: Callable[[Any], bool]
@@ -62,8 +62,8 @@
     """A field of a command.
 
     Attributes:
-        value_rule: the allowed values.
-        default: the value if the command has none, or REQUIRED.
+        value_rule: The allowed values.
+        default: The value if the command has none, or REQUIRED.
     """
 
     value_rule: ValueRule
@@ -71,7 +71,7 @@
 
 
 def is_non_negative_integer(value: object) -> bool:
-    """Whether a value is a non-negative integer that fits into MAX_INTEGER_BITS."""
+    """Returns whether a value is a non-negative integer that fits into MAX_INTEGER_BITS."""
     return (
         isinstance(value, int)
         and not isinstance(value, bool)
@@ -80,12 +80,12 @@
 
 
 def is_sentence(value: object) -> bool:
-    """Whether a value is printable text of 1 to MAX_SENTENCE_LENGTH characters."""
+    """Returns whether a value is printable text of 1 to MAX_SENTENCE_LENGTH characters."""
     return isinstance(value, str) and 0 < len(value) <= MAX_SENTENCE_LENGTH and value.isprintable()
 
 
 def is_name_or_empty(value: object) -> bool:
-    """Whether a value is a name or the empty string."""
+    """Returns whether a value is a name or the empty string."""
     return value == "" or is_valid_name(value)
 
 
@@ -232,7 +232,7 @@
         The command's name, and its fields with defaults filled in.
 
     Raises:
-        CommandRejectedError: the command is malformed.
+        CommandRejectedError: The command is malformed.
     """
     if type(command) is not dict or estimate_size(command) > MAX_COMMAND_BYTES:
         raise CommandRejectedError(
@@ -257,7 +257,7 @@
         The command's name, and its typed record.
 
     Raises:
-        CommandRejectedError: the command is malformed.
+        CommandRejectedError: The command is malformed.
     """
     name, fields = read_fields(command)
     for field, enum in FIELD_ENUMS.items():
--- a/thymeknot/disruption/commands.py
+++ b/thymeknot/disruption/commands.py
@@ -51,11 +51,11 @@
     """The operator's declaration of units, budgets and settings; None leaves them unchanged.
 
     Attributes:
-        epoch: the declaration's epoch; a declaration older than the newest is rejected.
-        units: labels by name of the units to add or change.
-        gone: names of the units to remove.
-        budgets: all budgets; they replace the current ones.
-        terms: settings to change, by name.
+        epoch: The declaration's epoch; a declaration older than the newest is rejected.
+        units: Labels by name of the units to add or change.
+        gone: Names of the units to remove.
+        budgets: All budgets; they replace the current ones.
+        terms: Settings to change, by name.
     """
 
     epoch: int
@@ -69,7 +69,7 @@
     """Status reports of units.
 
     Attributes:
-        as_of: the newest agreed time that the observer knew when it made the observation.
+        as_of: The newest agreed time that the observer knew when it made the observation.
         units: `[status, start, build]` by unit name; `start` is the number of the process's start.
     """
 
@@ -96,10 +96,10 @@
     """An agent's request to confirm that it may begin the permitted disruption.
 
     Attributes:
-        unit: the agent's unit.
-        fence: the permit's fencing token.
-        epoch: the plan's epoch.
-        start: the number of the process's start.
+        unit: The agent's unit.
+        fence: The permit's fencing token.
+        epoch: The plan's epoch.
+        start: The number of the process's start.
     """
 
     unit: str
--- a/thymeknot/disruption/declaration.py
+++ b/thymeknot/disruption/declaration.py
@@ -26,9 +26,9 @@
     """The complete state that a declaration results in.
 
     Attributes:
-        units: labels of all units, by name.
-        budgets: all budgets.
-        settings: all settings.
+        units: Labels of all units, by name.
+        budgets: All budgets.
+        settings: All settings.
     """
 
     units: dict[str, Labels]
@@ -40,7 +40,7 @@
     """Applies a declaration to copies of the fleet's units, budgets and settings.
 
     Raises:
-        CommandRejectedError: a field is malformed, or changes a unit that has a permit.
+        CommandRejectedError: A field is malformed, or changes a unit that has a permit.
     """
     units = {name: unit.labels for name, unit in fleet.units.items()}
     for name, declared in (command.units or {}).items():
--- a/thymeknot/disruption/fleet.py
+++ b/thymeknot/disruption/fleet.py
@@ -23,19 +23,19 @@
     """All units and budget usages; issues permits with strictly increasing fencing tokens.
 
     Attributes:
-        at: the current agreed time.
-        last_fencing_token: the fencing token of the newest permit.
-        settings: the operator's settings.
-        units: all units by name.
-        budgets: the declared budgets.
-        usages: the usages of all budgets by name.
-        requesting: units with a waiting permit request, by name.
-        permitted: units that have a permit, by name.
-        silence_deadlines: heap of (agreed time, unit name): when a ready unit becomes silent unless
+        at: The current agreed time.
+        last_fencing_token: The fencing token of the newest permit.
+        settings: The operator's settings.
+        units: All units by name.
+        budgets: The declared budgets.
+        usages: The usages of all budgets by name.
+        requesting: Units with a waiting permit request, by name.
+        permitted: Units that have a permit, by name.
+        silence_deadlines: Heap of (agreed time, unit name): when a ready unit becomes silent unless
             it is reported ready again.
-        capacity_freed: whether a request that did not fit before may fit now.
-        newly_exceeded: usages that exceeded their limit and have not caused a halt yet.
-        last_report_at: agreed time of the last report of any unit.
+        capacity_freed: Whether a request that did not fit before may fit now.
+        newly_exceeded: Usages that exceeded their limit and have not caused a halt yet.
+        last_report_at: Agreed time of the last report of any unit.
     """
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
         """Returns the unit with a name.
 
         Raises:
-            CommandRejectedError: no unit of this name was declared.
+            CommandRejectedError: No unit of this name was declared.
         """
         unit = self.units.get(name)
         if unit is None:
@@ -82,11 +82,11 @@
         """Replaces all units and budgets; units that stay declared keep their state.
 
         Args:
-            units: labels by unit name.
-            budgets: the budgets.
+            units: Labels by unit name.
+            budgets: The budgets.
 
         Raises:
-            CommandRejectedError: a budget cannot be applied to the units; nothing was changed.
+            CommandRejectedError: A budget cannot be applied to the units; nothing was changed.
         """
         usages = build_usages(budgets, units)
         for name in [name for name in self.units if name not in units]:
@@ -132,8 +132,8 @@
     def advance_time(self, at: Ticks) -> None:
         """Advances agreed time to `at`, if that is later.
 
-        Units that have been silent for too long count as unavailable. Permits that were not begun
-        lapse; their capacity stays in use, since the unit may be draining behind a partition.
+        Units that have been silent for too long count as unavailable. Unused permits lapse; their
+        capacity stays in use, since the unit may be draining behind a partition.
         """
         self.at = max(self.at, at)
         while self.silence_deadlines and self.silence_deadlines[0][0] <= self.at:
@@ -162,11 +162,11 @@
         Ignores a report that is older than the last one or from an earlier start of the process.
 
         Args:
-            unit: the reported unit.
-            as_of: the newest agreed time that the observer knew when it made the observation.
-            status: the observed status.
-            start: the number of the process's start.
-            build: the build that the unit runs, or empty if unknown.
+            unit: The reported unit.
+            as_of: The newest agreed time that the observer knew when it made the observation.
+            status: The observed status.
+            start: The number of the process's start.
+            build: The build that the unit runs, or empty if unknown.
         """
         if start < unit.start or as_of < unit.reported_at:
             return
@@ -195,9 +195,9 @@
         """Applies an input to a unit's permit according to PERMIT_TRANSITIONS.
 
         Args:
-            unit: the unit.
-            event: the input.
-            details: the PermitRequest for REQUESTED, the fault's sentence for FAILED, otherwise
+            unit: The unit.
+            event: The input.
+            details: The PermitRequest for REQUESTED, the fault's sentence for FAILED, otherwise
                 empty.
 
         Returns:
--- a/thymeknot/disruption/halts.py
+++ b/thymeknot/disruption/halts.py
@@ -1,7 +1,7 @@
 """Halts: their scope, their cause and the conditions that end them.
 
-A halt blocks permit requests, ends permits that were not begun, and stops releases. It never
-prevents an unavailable unit from returning.
+A halt blocks permit requests, ends unused permits, and stops releases. It never prevents an
+unavailable unit from returning.
 """
 
 from enum import StrEnum
@@ -33,9 +33,9 @@
     """The effects that depend on a halt's cause.
 
     Attributes:
-        holds_rollback_requests: whether the halt also blocks permit requests of rollbacks.
-        stops_rollbacks: whether the halt also stops the rollbacks of releases.
-        ends_with_budget: whether the halt ends once its budget is within its limit again.
+        holds_rollback_requests: Whether the halt also blocks permit requests of rollbacks.
+        stops_rollbacks: Whether the halt also stops the rollbacks of releases.
+        ends_with_budget: Whether the halt ends once its budget is within its limit again.
     """
 
     holds_rollback_requests: bool
@@ -56,17 +56,17 @@
 
 
 class Halt(NamedTuple):
-    """A halt in effect; snapshots store the fields in this order.
+    """A halt in force; snapshots store the fields in this order.
 
     Attributes:
-        number: the halt's number; later halts have higher numbers.
-        selector: the units it applies to, or None if it applies to a release.
-        release: the name of the release it applies to, or None.
-        budget: the name of the exceeded budget usage that caused it, or None.
-        cause: the kind of cause.
-        reason: the reason as a sentence.
-        ordered_by: who ordered it.
-        ordered_at: agreed time of the order.
+        number: The halt's number; later halts have higher numbers.
+        selector: The units it applies to, or None if it applies to a release.
+        release: The name of the release it applies to, or None.
+        budget: The name of the exceeded budget usage that caused it, or None.
+        cause: The kind of cause.
+        reason: The reason as a sentence.
+        ordered_by: Who ordered it.
+        ordered_at: Agreed time of the order.
     """
 
     number: int
@@ -99,11 +99,11 @@
 
 
 class Halts:
-    """All halts in effect.
+    """All halts in force.
 
     Attributes:
-        last_number: the number of the newest halt.
-        by_number: the halts by number, in the order in which they were ordered.
+        last_number: The number of the newest halt.
+        by_number: The halts by number, in the order in which they were ordered.
     """
 
     def __init__(self) -> None:
@@ -124,7 +124,7 @@
         """Adds a halt; replaces an earlier one with the same cause, scope, budget and origin.
 
         Raises:
-            CommandRejectedError: too many halts are in effect.
+            CommandRejectedError: Too many halts are in force.
         """
         for halt in self.by_number.values():
             if (halt.cause, halt.selector, halt.release, halt.budget, halt.ordered_by) == (
@@ -154,8 +154,8 @@
         """Returns the first halt that blocks a unit's request, or None.
 
         Args:
-            unit: a unit with a request.
-            release: the release that made the request, or None. Halts up to its `last_known_halt`
+            unit: A unit with a request.
+            release: The release that made the request, or None. Halts up to its `last_known_halt`
                 were known when its rollback was ordered, so they do not block the rollback.
         """
         request = unit.request
--- a/thymeknot/disruption/invariant_checker.py
+++ b/thymeknot/disruption/invariant_checker.py
@@ -14,9 +14,9 @@
     """A budget in the form that the checker uses.
 
     Attributes:
-        name: name that violations use for it.
-        units: names of the units that belong to it.
-        max_unavailable: how many of them may be unavailable.
+        name: Name that violations use for it.
+        units: Names of the units that belong to it.
+        max_unavailable: How many of them may be unavailable.
     """
 
     name: str
@@ -28,8 +28,8 @@
     """A halt in force.
 
     Attributes:
-        at: virtual time at which it was confirmed.
-        units: names of the units that it holds.
+        at: Virtual time at which it was confirmed.
+        units: Names of the units that it holds.
     """
 
     at: Ticks
@@ -40,8 +40,8 @@
     """A unit stopped taking new work, other than by a crash.
 
     Attributes:
-        at: virtual time at which it did.
-        unit: name of the unit.
+        at: Virtual time at which it did.
+        unit: Name of the unit.
     """
 
     at: Ticks
@@ -60,17 +60,17 @@
     - A6: no disruption begins once the state machine has been unreachable for the bound.
 
     Attributes:
-        groups: the budgets.
-        crash_grace_period: ticks after a crash during which the fleet need not know of it.
-        bound: ticks after which a halt, or the loss of the state machine, must take effect.
-        disrupted_at: time of the disruption of each disrupted unit, by name.
-        crashed_at: time of the crash of each unit that has not served since, by name.
-        confirmations: time of the last confirmation of a begin, by name and fencing token.
-        highest_used_tokens: highest fencing token that each unit was disrupted with, by name.
-        halts: halts in force, by number.
-        service_lost_at: time since when the state machine is unreachable, or None.
-        violations: sentences that begin with the name of the violated invariant.
-        disruptions: all disruptions, in order.
+        groups: The budgets.
+        crash_grace_period: Ticks after a crash during which the fleet need not know of it.
+        bound: Ticks after which a halt, or the loss of the state machine, must take effect.
+        disrupted_at: Time of the disruption of each disrupted unit, by name.
+        crashed_at: Time of the crash of each unit that has not served since, by name.
+        confirmations: Time of the last confirmation of a begin, by name and fencing token.
+        highest_used_tokens: Highest fencing token that each unit was disrupted with, by name.
+        halts: Halts in force, by number.
+        service_lost_at: Time since when the state machine is unreachable, or None.
+        violations: Sentences that begin with the name of the violated invariant.
+        disruptions: All disruptions, in order.
     """
 
     def __init__(self, groups: list[BudgetGroup], crash_grace_period: Ticks, bound: Ticks) -> None:
@@ -112,10 +112,10 @@
         """Records that a unit stopped taking new work without a crash, and checks the invariants.
 
         Args:
-            now: virtual time.
-            name: name of the unit.
-            fencing_token: fencing token of the permit that it used.
-            is_rollback: whether it is disrupted for a rollback that was ordered.
+            now: Virtual time.
+            name: Name of the unit.
+            fencing_token: Fencing token of the permit that it used.
+            is_rollback: Whether it is disrupted for a rollback that was ordered.
         """
         self.disruptions.append(Disruption(now, name))
         self.disrupted_at[name] = now
--- a/thymeknot/disruption/permit_commands.py
+++ b/thymeknot/disruption/permit_commands.py
@@ -29,9 +29,9 @@
     """Handles permit commands; each handler raises CommandRejectedError to reject its command.
 
     Attributes:
-        fleet: the units.
-        plans: the epochs of plans.
-        explain_hold: returns the sentence of a halt that blocks a unit's request, or None.
+        fleet: The units.
+        plans: The epochs of plans.
+        explain_hold: Returns the sentence of a halt that blocks a unit's request, or None.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         """Rejects a request that cannot be granted immediately.
 
         Raises:
-            CommandRejectedError: a halt or a budget blocks the request.
+            CommandRejectedError: A halt or a budget blocks the request.
         """
         unit.request = request
         hold = self.explain_hold(unit)
@@ -91,7 +91,7 @@
         """Returns the unit, if its permit has this fencing token.
 
         Raises:
-            CommandRejectedError: the unit has no permit, or one with another fencing token.
+            CommandRejectedError: The unit has no permit, or one with another fencing token.
         """
         unit = self.fleet.get_unit(name)
         if unit.state not in PERMITTED_STATES:
@@ -135,7 +135,7 @@
         """Ends the permit of a unit that may no longer begin.
 
         Raises:
-            CommandRejectedError: a budget is exceeded, or a halt blocks the unit.
+            CommandRejectedError: A budget is exceeded, or a halt blocks the unit.
         """
         hold = self.explain_hold(unit)
         exceeded = self.fleet.find_exceeded_budget(unit)
--- a/thymeknot/disruption/permits.py
+++ b/thymeknot/disruption/permits.py
@@ -23,9 +23,9 @@
 class PermitState(StrEnum):
     """The state of a unit's permit.
 
-    IN_SERVICE and REQUESTED have no permit; REQUESTED waits for one. GRANTED has a permit that was
-    not begun, DRAINING began it, OUT_OF_SERVICE has drained, and RETURNING waits until the unit is
-    ready again.
+    IN_SERVICE and REQUESTED have no permit; REQUESTED waits for one. GRANTED has an unused permit,
+    DRAINING has used it to begin, OUT_OF_SERVICE has drained, and RETURNING waits until the unit
+    is ready again.
     """
 
     IN_SERVICE = "in"
@@ -80,8 +80,8 @@
     """The result of an input in a state.
 
     Attributes:
-        state: the next state.
-        effect: what is done to the unit.
+        state: The next state.
+        effect: What is done to the unit.
     """
 
     state: PermitState
@@ -184,12 +184,12 @@
     """A request for a permit.
 
     Attributes:
-        requested_at: agreed time of the request.
+        requested_at: Agreed time of the request.
         urgency: 0 to 9; the setting `step` is the age in ticks that each degree is worth.
-        plan: the name of the plan that made the request.
-        epoch: the plan's epoch.
-        rollback: whether the unit is to be disrupted for a rollback.
-        build: the build to return with, or empty to keep the current one.
+        plan: The name of the plan that made the request.
+        epoch: The plan's epoch.
+        rollback: Whether the unit is to be disrupted for a rollback.
+        build: The build to return with, or empty to keep the current one.
     """
 
     requested_at: Ticks
@@ -208,24 +208,24 @@
     """A unit, its permit, and its last reported status.
 
     Attributes:
-        name: the unit's name.
-        labels: the unit's labels.
-        state: the state of its permit.
-        state_entered_at: agreed time at which that state was entered.
-        request: the waiting or granted request; None only in service.
-        fencing_token: the fencing token of the newest permit, 0 if there was none.
-        permit_until: agreed time at which the permit lapses unless it is begun.
-        lapsed_permits: the number of permits that lapsed since one was last begun.
-        reported_at: date of the last report, -1 if there was none.
-        ready_at: date of the last report with the status READY, -1 if there was none.
-        start: number of the process's start, -1 if the unit was never reported.
-        build: the build that the unit runs, empty if unknown.
-        status: the last reported status.
-        evidence_valid_after: agreed time; reports dated up to it do not prove that the unit is
+        name: The unit's name.
+        labels: The unit's labels.
+        state: The state of its permit.
+        state_entered_at: Agreed time at which that state was entered.
+        request: The waiting or granted request; None only in service.
+        fencing_token: The fencing token of the newest permit, 0 if there was none.
+        permit_until: Agreed time at which the permit lapses unless it is begun.
+        lapsed_permits: The number of permits that lapsed since one was last begun.
+        reported_at: Date of the last report, -1 if there was none.
+        ready_at: Date of the last report with the status READY, -1 if there was none.
+        start: Number of the process's start, -1 if the unit was never reported.
+        build: The build that the unit runs, empty if unknown.
+        status: The last reported status.
+        evidence_valid_after: Agreed time; reports dated up to it do not prove that the unit is
             ready. -1 if there is none.
-        fault: why the unit cannot return, or empty.
-        usages: the budget usages that cover the unit.
-        silence_queued: whether the unit has an entry in the fleet's `silence_deadlines`.
+        fault: Why the unit cannot return, or empty.
+        usages: The budget usages that cover the unit.
+        silence_queued: Whether the unit has an entry in the fleet's `silence_deadlines`.
     """
 
     __slots__ = (
@@ -272,14 +272,14 @@
         """The request of a unit that waits for a permit or has one.
 
         Raises:
-            ValueError: the unit is in service and has no request.
+            ValueError: The unit is in service and has no request.
         """
         if self.request is None:
             raise ValueError(f"unit {self.name} is {self.state} and has no request")
         return self.request
 
     def is_reported_ready(self, at: Ticks, silent: Ticks) -> bool:
-        """Whether a recent and valid report has the status READY, whatever the permit's state."""
+        """Returns whether a recent and valid report has the status READY, in any permit state."""
         return (
             self.status == UnitStatus.READY
             and self.ready_at > self.evidence_valid_after
@@ -287,11 +287,11 @@
         )
 
     def is_ready(self, at: Ticks, silent: Ticks) -> bool:
-        """Whether the unit counts as ready; otherwise it counts as unavailable."""
+        """Returns whether the unit counts as ready; otherwise it counts as unavailable."""
         return self.state in IN_SERVICE_STATES and self.is_reported_ready(at, silent)
 
     def is_reported_unavailable(self, at: Ticks, silent: Ticks) -> bool:
-        """Whether the last report is recent and has a status other than READY.
+        """Returns whether the last report is recent and has a status other than READY.
 
         A silent unit does not qualify: it may be serving behind a partition, and would be disrupted
         when the partition heals.
--- a/thymeknot/disruption/plan_epochs.py
+++ b/thymeknot/disruption/plan_epochs.py
@@ -19,8 +19,8 @@
     """The epoch of a plan.
 
     Attributes:
-        epoch: the highest accepted epoch.
-        last_used: agreed time of its last use.
+        epoch: The highest accepted epoch.
+        last_used: Agreed time of its last use.
     """
 
     __slots__ = ("epoch", "last_used")
@@ -34,8 +34,8 @@
     """The epochs of all known plans.
 
     Attributes:
-        fleet: the fleet whose permits the plans request.
-        by_name: the epochs by the plan's name.
+        fleet: The fleet whose permits the plans request.
+        by_name: The epochs by the plan's name.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -43,7 +43,7 @@
         self.by_name: dict[str, PlanEpoch] = {}
 
     def has_other_epoch(self, plan: str, epoch: int) -> bool:
-        """Whether a plan is known with an epoch other than this one."""
+        """Returns whether a plan is known with an epoch other than this one."""
         known = self.by_name.get(plan)
         return known is not None and known.epoch != epoch
 
@@ -53,7 +53,7 @@
         A newer epoch withdraws the requests and the unused permits of the older one.
 
         Raises:
-            CommandRejectedError: the epoch is older than the known one, or there are too many
+            CommandRejectedError: The epoch is older than the known one, or there are too many
                 plans.
         """
         known = self.by_name.get(plan)
--- a/thymeknot/disruption/release.py
+++ b/thymeknot/disruption/release.py
@@ -14,14 +14,14 @@
     """The state of a release. The values are stored and sent.
 
     Attributes:
-        WAITING: an earlier release has some of its units.
-        RUNNING: it requests permits, wave by wave.
-        HALTED: a halt stops it.
-        DONE: all waves are finished.
-        ROLLING_BACK: its units are given the earlier build.
-        ROLLBACK_HALTED: a halt stops its rollback.
-        ROLLED_BACK: the rollback is finished.
-        PARTLY_ROLLED_BACK: the rollback has ended, but some units could not be rolled back.
+        WAITING: An earlier release has some of its units.
+        RUNNING: It requests permits, wave by wave.
+        HALTED: A halt stops it.
+        DONE: All waves are finished.
+        ROLLING_BACK: Its units are given the earlier build.
+        ROLLBACK_HALTED: A halt stops its rollback.
+        ROLLED_BACK: The rollback is finished.
+        PARTLY_ROLLED_BACK: The rollback has ended, but some units could not be rolled back.
     """
 
     WAITING = "waiting"
@@ -38,13 +38,13 @@
     """An event that may change the state of a release.
 
     Attributes:
-        UNITS_FREE: no earlier release has its units any more.
-        ROLLBACK_ORDERED: an operator or a vote ordered its rollback.
-        HALTED: a halt stops it.
-        RESUMED: no halt stops it any more.
-        FINISHED: the last wave is finished.
-        ROLLBACK_FINISHED: no unit has its build any more.
-        ROLLBACK_BLOCKED: the remaining units can't be rolled back.
+        UNITS_FREE: No earlier release has its units any more.
+        ROLLBACK_ORDERED: An operator or a vote ordered its rollback.
+        HALTED: A halt stops it.
+        RESUMED: No halt stops it any more.
+        FINISHED: The last wave is finished.
+        ROLLBACK_FINISHED: No unit has its build any more.
+        ROLLBACK_BLOCKED: The remaining units can't be rolled back.
     """
 
     UNITS_FREE = "units_free"
@@ -60,10 +60,10 @@
     """What a transition does to the units of a release.
 
     Attributes:
-        REQUEST_PERMITS: permits are requested in the next round.
-        WITHDRAW_PERMITS: requests and unused permits are withdrawn.
-        ROLL_BACK: as WITHDRAW_PERMITS, and disrupted units are recalled.
-        FINISH: as WITHDRAW_PERMITS.
+        REQUEST_PERMITS: Permits are requested in the next round.
+        WITHDRAW_PERMITS: Requests and unused permits are withdrawn.
+        ROLL_BACK: As WITHDRAW_PERMITS, and disrupted units are recalled.
+        FINISH: As WITHDRAW_PERMITS.
     """
 
     REQUEST_PERMITS = "request_permits"
@@ -76,8 +76,8 @@
     """The result of an input in some state.
 
     Attributes:
-        state: the next state.
-        effect: the effect on the units of the release.
+        state: The next state.
+        effect: The effect on the units of the release.
     """
 
     state: ReleaseState
@@ -188,23 +188,23 @@
     """A release and its progress.
 
     Attributes:
-        name: name of the release.
-        epoch: epoch of the release; a new release of the same name needs a higher one.
-        members: names of the units, in the order in which they are disrupted.
-        build: the build that is released.
-        earlier_build: the build that a rollback restores.
-        waves: cumulative number of units at the end of each wave.
-        gated: whether a wave waits for the verdict `on` for the previous wave.
-        auto_rollback: whether the verdict `back` also starts the rollback.
-        urgency: urgency of its permit requests, from 0 to 9.
-        started_at: agreed time at which the release was added.
-        number: sequence number; later releases have higher numbers.
-        state: current state.
-        wave: index of the current wave.
-        approved_waves: number of waves that have the verdict `on`.
-        last_known_halt: number of the newest halt when the rollback was ordered; halts up to it
+        name: Name of the release.
+        epoch: Epoch of the release; a new release of the same name needs a higher one.
+        members: Names of the units, in the order in which they are disrupted.
+        build: The build that is released.
+        earlier_build: The build that a rollback restores.
+        waves: Cumulative number of units at the end of each wave.
+        gated: Whether a wave waits for the verdict `on` for the previous wave.
+        auto_rollback: Whether the verdict `back` also starts the rollback.
+        urgency: Urgency of its permit requests, from 0 to 9.
+        started_at: Agreed time at which the release was added.
+        number: Sequence number; later releases have higher numbers.
+        state: Current state.
+        wave: Index of the current wave.
+        approved_waves: Number of waves that have the verdict `on`.
+        last_known_halt: Number of the newest halt when the rollback was ordered; halts up to it
             do not stop the rollback.
-        set_aside: reasons why units are not waited for, by unit name.
+        set_aside: Reasons why units are not waited for, by unit name.
     """
 
     name: str
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -24,7 +24,7 @@
     """Adds a release, or returns the state of the release if the command is a repeat.
 
     Raises:
-        CommandRejectedError: the release can't be started, or can't be started now.
+        CommandRejectedError: The release can't be started, or can't be started now.
     """
     name = command.release
     existing = rollouts.by_name.get(name)
@@ -79,7 +79,7 @@
     """Checks that a command repeats the release of the same name or may replace it.
 
     Raises:
-        CommandRejectedError: it does neither.
+        CommandRejectedError: It does neither.
     """
     name = command.release
     if command.epoch < existing.epoch:
@@ -125,7 +125,7 @@
     """Converts rising shares up to 1 into the cumulative number of `count` units per wave.
 
     Raises:
-        CommandRejectedError: the shares do not rise, or the last one is not 1.
+        CommandRejectedError: The shares do not rise, or the last one is not 1.
     """
     if not 0 < len(shares) <= MAX_WAVES or any(
         isinstance(share, bool) or not isinstance(share, int | float) or not 0 < share <= 1
@@ -141,7 +141,7 @@
     """Rolls a release back.
 
     Raises:
-        CommandRejectedError: there is no such release, nothing to roll back, or another release
+        CommandRejectedError: There is no such release, nothing to roll back, or another release
             has some of the units.
     """
     release = rollouts.by_name.get(name)
@@ -175,12 +175,12 @@
     halts the release and, with automatic rollback, rolls it back.
 
     Args:
-        rollouts: all releases.
-        command: the verdict.
-        enforce_halt: withdraws the unused permits that a new halt holds.
+        rollouts: All releases.
+        command: The verdict.
+        enforce_halt: Withdraws the unused permits that a new halt holds.
 
     Raises:
-        CommandRejectedError: the release, its epoch or its wave is not the current one, or the
+        CommandRejectedError: The release, its epoch or its wave is not the current one, or the
             release is in a state in which it can't be voted back.
     """
     release = rollouts.by_name.get(command.release)
--- a/thymeknot/disruption/replies.py
+++ b/thymeknot/disruption/replies.py
@@ -36,12 +36,12 @@
     """An order to the agent of a unit that has a permit.
 
     Attributes:
-        do: the order.
-        fence: fencing token of the permit.
-        plan: the plan that requested the permit.
-        epoch: epoch of the plan.
-        left: ticks until the permit lapses.
-        build: the build with which the unit is to return, or empty.
+        do: The order.
+        fence: Fencing token of the permit.
+        plan: The plan that requested the permit.
+        epoch: Epoch of the plan.
+        left: Ticks until the permit lapses.
+        build: The build with which the unit is to return, or empty.
     """
 
     do: OrderName
@@ -134,15 +134,15 @@
     """The current state of a unit.
 
     Attributes:
-        state: state of its permit.
-        ready: whether it counts as ready.
-        build: the build it runs.
-        order: the order to its agent; None without a permit.
-        out: why it counts as unavailable; None if it is ready.
-        fault: why it can't return, or None.
-        waits: why its request has not been granted, or None.
-        by: names of the budgets and units that block its request.
-        again: ticks until a retry of its request makes sense.
+        state: State of its permit.
+        ready: Whether it counts as ready.
+        build: The build it runs.
+        order: The order to its agent; None without a permit.
+        out: Why it counts as unavailable; None if it is ready.
+        fault: Why it can't return, or None.
+        waits: Why its request has not been granted, or None.
+        by: Names of the budgets and units that block its request.
+        again: Ticks until a retry of its request makes sense.
     """
 
     state: str
@@ -160,14 +160,14 @@
     """The status of units, budgets, halts and releases.
 
     Attributes:
-        terms: the settings.
-        units: number of units that the selector matches.
-        out: number of those that are unavailable.
-        more: number of units with a request or unavailable that are omitted from `away`.
-        away: details of the units that have a request or are unavailable, by name.
-        budgets: usages of the budgets, by name.
-        halts: descriptions of the halts in force, by number.
-        releases: summaries of the releases, by name.
+        terms: The settings.
+        units: Number of units that the selector matches.
+        out: Number of those that are unavailable.
+        more: Number of units with a request or unavailable that are omitted from `away`.
+        away: Details of the units that have a request or are unavailable, by name.
+        budgets: Usages of the budgets, by name.
+        halts: Descriptions of the halts in force, by number.
+        releases: Summaries of the releases, by name.
     """
 
     terms: dict[str, int]
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -43,10 +43,10 @@
     """The progress of a unit in a release or its rollback.
 
     Attributes:
-        is_awaited: whether the wave or rollback waits for the unit.
-        reason: why the unit is set aside, or None.
-        needs_permit: whether a permit is to be requested for the unit.
-        is_recovered: whether an earlier reason for setting the unit aside no longer applies.
+        is_awaited: Whether the wave or rollback waits for the unit.
+        reason: Why the unit is set aside, or None.
+        needs_permit: Whether a permit is to be requested for the unit.
+        is_recovered: Whether an earlier reason for setting the unit aside no longer applies.
     """
 
     is_awaited: bool
@@ -135,8 +135,8 @@
         """Returns the first unfinished release that has one of these units, or None.
 
         Args:
-            release: only releases before this one are considered; None: all are.
-            members: names of units.
+            release: Only releases before this one are considered; None: all are.
+            members: Names of units.
         """
         for other in self.sorted_by_number():
             if (
@@ -168,7 +168,7 @@
         """Does nothing now: permits are requested in the next round."""
 
     def _withdraw_permits(self, release: Release) -> None:
-        """Withdraws the release's requests and the permits that were not begun."""
+        """Withdraws the release's requests and its unused permits."""
         for unit in self.get_units(release):
             if unit.request and unit.request.plan == release.plan:
                 self._withdraw_unit(unit)
--- a/thymeknot/disruption/scheduler.py
+++ b/thymeknot/disruption/scheduler.py
@@ -23,8 +23,8 @@
     """Why a request was not granted.
 
     Attributes:
-        sentence: the reason as a sentence.
-        by: names of the blocking budgets, then of the unavailable units in them.
+        sentence: The reason as a sentence.
+        by: Names of the blocking budgets, then of the unavailable units in them.
     """
 
     sentence: str
@@ -58,7 +58,10 @@
 
 
 def will_free_capacity(fleet: Fleet, usage: BudgetUsage) -> bool:
-    """Whether enough unavailable units hold permits, and so are expected to return, for a grant."""
+    """Returns whether enough capacity for a grant will be freed.
+
+    Unavailable units that hold permits are expected to return.
+    """
     settings = fleet.settings
     at = fleet.at
     expected = 0
@@ -77,8 +80,8 @@
     """Grants every request that fits into its budgets.
 
     Args:
-        fleet: the units and budgets.
-        explain_hold: returns the description of a halt that holds a unit's request, or None.
+        fleet: The units and budgets.
+        explain_hold: Returns the description of a halt that holds a unit's request, or None.
     """
     for usage in fleet.usages.values():
         usage.reserved = 0
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -62,9 +62,9 @@
     """Which messages between a unit and the service a partition drops.
 
     Attributes:
-        BOTH: all messages.
-        TO: those to the service.
-        FROM: those from the service.
+        BOTH: All messages.
+        TO: Those to the service.
+        FROM: Those from the service.
     """
 
     BOTH = "both"
@@ -76,19 +76,19 @@
     """The actual state of a unit, its process and its clock.
 
     Attributes:
-        name: name of the unit.
-        labels: labels of the unit.
-        clock_rate: ticks of its monotonic clock per tick of virtual time.
-        clock_offset: value of that clock at virtual time 0.
-        is_alive: whether its process is running.
-        is_serving: whether the process takes new work.
-        build: the build it runs.
-        start: number of the process start, counted from 1.
-        warm_up: mean warm-up time in ticks.
-        suspended_until: virtual time until which the process is suspended.
-        return_fault: why it can't return, or None.
-        agent: the agent of the current process.
-        client: the client of the current process.
+        name: Name of the unit.
+        labels: Labels of the unit.
+        clock_rate: Ticks of its monotonic clock per tick of virtual time.
+        clock_offset: Value of that clock at virtual time 0.
+        is_alive: Whether its process is running.
+        is_serving: Whether the process takes new work.
+        build: The build it runs.
+        start: Number of the process start, counted from 1.
+        warm_up: Mean warm-up time in ticks.
+        suspended_until: Virtual time until which the process is suspended.
+        return_fault: Why it can't return, or None.
+        agent: The agent of the current process.
+        client: The client of the current process.
     """
 
     def __init__(self, name: str, labels: Labels, clock_rate: float, clock_offset: Ticks) -> None:
@@ -111,15 +111,15 @@
     """Units with their agents and clients, the network and the service, in virtual time.
 
     Attributes:
-        now: virtual time in ticks.
-        settings: settings of disruption control.
-        units: all units, by name.
-        service: stub of the replicated log.
-        checker: checker of the invariants.
-        partitions: pairs of sender and receiver between which all messages are lost.
-        rolled_back: names of units whose rollback was ordered.
-        failing_build: a build that never warms up after a crash, or None.
-        declare_reply: reply to the declaration.
+        now: Virtual time in ticks.
+        settings: Settings of disruption control.
+        units: All units, by name.
+        service: Stub of the replicated log.
+        checker: Checker of the invariants.
+        partitions: Pairs of sender and receiver between which all messages are lost.
+        rolled_back: Names of units whose rollback was ordered.
+        failing_build: A build that never warms up after a crash, or None.
+        declare_reply: Reply to the declaration.
     """
 
     def __init__(
@@ -137,14 +137,14 @@
         """Starts all units and declares them.
 
         Args:
-            seed: seed of the random number generator.
-            units: labels of the units, by name.
-            budgets: the budgets, in the form of a declaration.
-            groups: the same budgets, in the form that the checker uses.
-            settings: settings of disruption control; None: defaults.
-            loss: probability that a message is lost.
-            make_agent: creates the agent of a process.
-            make_machine: creates the state machine.
+            seed: Seed of the random number generator.
+            units: Labels of the units, by name.
+            budgets: The budgets, in the form of a declaration.
+            groups: The same budgets, in the form that the checker uses.
+            settings: Settings of disruption control; None: defaults.
+            loss: Probability that a message is lost.
+            make_agent: Creates the agent of a process.
+            make_machine: Creates the state machine.
         """
         self._random = new_random_source(seed * 2 + 1)
         self._events: list[tuple[Ticks, int, Callable[[], object]]] = []
@@ -225,8 +225,8 @@
         """Partitions units from the service.
 
         Args:
-            names: names of the units.
-            direction: the messages that are lost, as the value of a Direction.
+            names: Names of the units.
+            direction: The messages that are lost, as the value of a Direction.
         """
         for name in names:
             if direction != Direction.FROM:
@@ -269,8 +269,8 @@
         """Kills a unit's process.
 
         Args:
-            name: name of the unit.
-            restart_after: seconds until the process restarts, not warmed up; None: never.
+            name: Name of the unit.
+            restart_after: Seconds until the process restarts, not warmed up; None: never.
         """
         unit = self.units[name]
         unit.is_alive = False
--- a/thymeknot/disruption/simulated_layout.py
+++ b/thymeknot/disruption/simulated_layout.py
@@ -17,9 +17,9 @@
     """The units and budgets of a simulated fleet.
 
     Attributes:
-        units: labels of the units, by name.
-        budgets: the budgets, in the form of a declaration.
-        groups: the same budgets, in the form that the invariant checker uses.
+        units: Labels of the units, by name.
+        budgets: The budgets, in the form of a declaration.
+        groups: The same budgets, in the form that the invariant checker uses.
     """
 
     units: dict[str, Labels]
--- a/thymeknot/disruption/simulated_service.py
+++ b/thymeknot/disruption/simulated_service.py
@@ -23,9 +23,9 @@
     """The interface of the simulated fleet that the service and its clients use.
 
     Attributes:
-        now: virtual time in ticks.
-        checker: checker of the invariants.
-        service: the service.
+        now: Virtual time in ticks.
+        checker: Checker of the invariants.
+        service: The service.
     """
 
     now: Ticks
@@ -40,9 +40,9 @@
     """Identifies a command, so that its repeats are recognized.
 
     Attributes:
-        origin: name of the client.
-        incarnation: number of the client's process start.
-        number: number of the command within the incarnation.
+        origin: Name of the client.
+        incarnation: Number of the client's process start.
+        number: Number of the command within the incarnation.
     """
 
     origin: str
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -91,12 +91,12 @@
     """Units, budgets, permits, halts and releases, which only commands change.
 
     Attributes:
-        fleet: units and budgets.
-        halts: the halts in force.
-        releases: all releases.
-        plans: the epochs of plans.
-        permit_commands: applies the commands on the permit of one unit.
-        epoch: epoch of the newest declaration.
+        fleet: Units and budgets.
+        halts: The halts in force.
+        releases: All releases.
+        plans: The epochs of plans.
+        permit_commands: Applies the commands on the permit of one unit.
+        epoch: Epoch of the newest declaration.
     """
 
     def __init__(self) -> None:
@@ -128,8 +128,8 @@
         """Applies a command and returns its reply.
 
         Args:
-            at: agreed time of the command; time does not go back if it is earlier than the last.
-            command: the command as a mapping.
+            at: Agreed time of the command; time does not go back if it is earlier than the last.
+            command: The command as a mapping.
         """
         fleet = self.fleet
         if is_non_negative_integer(at):
@@ -155,7 +155,7 @@
         """Checks a command without applying it, and returns its name and fields.
 
         Raises:
-            CommandRejectedError: the command is malformed.
+            CommandRejectedError: The command is malformed.
         """
         return read_fields(command)
 
@@ -211,7 +211,7 @@
             pass  # too many halts are in force, but an exceeded budget grants nothing anyway
 
     def _enforce_halt(self, _halt: Halt) -> None:
-        """Ends the permits that were not begun and that a new halt holds.
+        """Ends the unused permits that a new halt blocks.
 
         Agents that don't learn of the halt stop after their bound, since no begin is confirmed.
         """
@@ -374,7 +374,7 @@
 
 
 def _is_report(report: Any) -> bool:
-    """Whether a unit's report has the form `[status, start, build]`."""
+    """Returns whether a unit's report has the form `[status, start, build]`."""
     return (
         isinstance(report, list)
         and len(report) == 3
--- a/thymeknot/disruption/status.py
+++ b/thymeknot/disruption/status.py
@@ -38,9 +38,9 @@
     """Returns the current state of a unit.
 
     Args:
-        fleet: the fleet that the unit belongs to.
-        unit: the unit.
-        explain_hold: returns the description of a halt that holds a unit's request, or None.
+        fleet: The fleet that the unit belongs to.
+        unit: The unit.
+        explain_hold: Returns the description of a halt that holds a unit's request, or None.
     """
     silent = fleet.settings.silent
     is_ready = unit.is_ready(fleet.at, silent)
--- a/thymeknot/disruption/targets.py
+++ b/thymeknot/disruption/targets.py
@@ -34,9 +34,9 @@
     """A command was rejected, and changed nothing beyond the effects of the passage of time.
 
     Attributes:
-        reason: why it was rejected, as a sentence.
-        by: names of the units, budgets, plans or releases that are in the way.
-        retry_after: ticks until a retry makes sense; 0 if it never does.
+        reason: Why it was rejected, as a sentence.
+        by: Names of the units, budgets, plans or releases that are in the way.
+        retry_after: Ticks until a retry makes sense; 0 if it never does.
     """
 
     def __init__(self, reason: str, by: Iterable[str] = (), retry_after: Ticks = 0) -> None:
@@ -73,15 +73,15 @@
     """Settings for all units. The field names are the keys of a declaration's `terms`.
 
     Attributes:
-        bound: ticks without a reply after which an agent begins no disruption.
-        silent: ticks without a ready report after which a unit counts as unavailable.
-        permit: ticks after which a permit that was not begun expires.
-        patience: ticks of waiting after which budget capacity is reserved for a request.
-        step: ticks of age that each degree of urgency adds to a request.
-        home: ticks after which a returning unit is overdue.
-        hold: ticks after which a draining or drained unit is overdue.
-        rest: ticks for which a budget must be within its limit before its halt ends.
-        drift: maximum rate error of a monotonic clock, in thousandths.
+        bound: Ticks without a reply after which an agent begins no disruption.
+        silent: Ticks without a ready report after which a unit counts as unavailable.
+        permit: Ticks after which an unused permit lapses.
+        patience: Ticks of waiting after which budget capacity is reserved for a request.
+        step: Ticks of age that each degree of urgency adds to a request.
+        home: Ticks after which a returning unit is overdue.
+        hold: Ticks after which a draining or drained unit is overdue.
+        rest: Ticks for which a budget must be within its limit before its halt ends.
+        drift: Maximum rate error of a monotonic clock, in thousandths.
     """
 
     bound: Ticks = SETTING_RANGES["bound"].default
@@ -110,7 +110,7 @@
 
 
 def is_valid_name(value: object) -> bool:
-    """Whether a value may be the name of a unit, budget, plan, release or build."""
+    """Returns whether a value may be the name of a unit, budget, plan, release or build."""
     return isinstance(value, str) and 0 < len(value) <= MAX_NAME_LENGTH and value.isprintable()
 
 
@@ -118,7 +118,7 @@
     """Checks the name and labels of a unit, and returns the labels in the order of LABEL_NAMES.
 
     Raises:
-        CommandRejectedError: the name, a label or a value is invalid, or the kind is unknown.
+        CommandRejectedError: The name, a label or a value is invalid, or the kind is unknown.
     """
     if not is_valid_name(name):
         raise CommandRejectedError(f"a unit's name is 1 to {MAX_NAME_LENGTH} printable characters")
@@ -139,7 +139,7 @@
     """Checks a selector and returns it in its stored form.
 
     Raises:
-        CommandRejectedError: it is not a mapping, or a label is unknown or has no valid values.
+        CommandRejectedError: It is not a mapping, or a label is unknown or has no valid values.
     """
     if not isinstance(given, dict):
         raise CommandRejectedError(
@@ -163,7 +163,7 @@
 
 
 def matches(selector: Selector, labels: Labels) -> bool:
-    """Whether a selector in its stored form matches a unit with these labels."""
+    """Returns whether a selector in its stored form matches a unit with these labels."""
     return all(labels.get(label) in values for label, values in selector)
 
 
