--- a/thymeknot/cli/decision_log_commands.py
+++ b/thymeknot/cli/decision_log_commands.py
@@ -23,7 +23,7 @@
     path: Optional[str]
     """A log file to query instead of the instance."""
     as_json: bool
-    """Whether to print lines of JSON."""
+    """Whether to print JSON lines."""
 
 
 class IdOrCommandGroup(click.Group):
--- a/thymeknot/cli/laboratory_commands.py
+++ b/thymeknot/cli/laboratory_commands.py
@@ -56,7 +56,9 @@
 @_size_options
 @click.option("--days", default=8, show_default=True)
 @click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
-@click.option("--keep", type=click.Path(), help="file for the results; an existing file is continued")
+@click.option(
+    "--keep", type=click.Path(), help="file for the results; an existing file is continued"
+)
 @libraries_from(LABORATORY)
 def lab_compare(
     *, one: str, two: str, seed: int, days: int, workers: int, keep: Optional[str], **size: int
--- a/thymeknot/gang_scheduling/placement_search.py
+++ b/thymeknot/gang_scheduling/placement_search.py
@@ -48,7 +48,7 @@
 
 
 SearchMethod: TypeAlias = Callable[[Scorer], RackCounts | None]
-"""Finds a placement, or returns None if the gang does not fit at present."""
+"""Finds a placement, or returns None if the gang does not fit now."""
 
 _Move: TypeAlias = tuple[RackIndex, RackIndex, int]
 """(source, target, workers); a negative number moves workers from target to source."""
@@ -71,7 +71,7 @@
         search: The search method; `choose_search` if None.
 
     Returns:
-        A plan, or None if the gang does not fit at present.
+        A plan, or None if the gang does not fit now.
     """
     scorer = Scorer(topology, gang, now, weights)
     counts = (search or choose_search)(scorer)
--- a/thymeknot/gang_scheduling/worker_replacement.py
+++ b/thymeknot/gang_scheduling/worker_replacement.py
@@ -53,7 +53,7 @@
         remaining_run: Ticks that the gang will still run; its expected duration if None.
 
     Returns:
-        The cheaper replacement, or None if the gang does not fit at present.
+        The cheaper replacement, or None if the gang does not fit now.
     """
     remaining_run = remaining_run or gang.lasts
     missing = gang.workers - sum(surviving.values())
--- a/thymeknot/load_generator/driver.py
+++ b/thymeknot/load_generator/driver.py
@@ -70,7 +70,7 @@
         self.has_responded = False
 
     def connectionMade(self) -> None:  # noqa: N802  # Twisted's name
-        """Twisted: the connection is established."""
+        """Called by Twisted when the connection is established."""
         self.transport.setTcpNoDelay(True)
         self.driver.connection_opened(self, self.request_to_resend)
 
@@ -82,7 +82,7 @@
         self.transport.write(self.codec.encode(request, remaining))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802  # Twisted's name
-        """Twisted: received data; malformed or unsolicited responses abort the connection."""
+        """Called by Twisted; a malformed or unsolicited response aborts the connection."""
         try:
             for outcome in self.codec.decode(data):
                 if self.in_flight is None:
@@ -101,7 +101,7 @@
         self.driver.request_ended(request, self.sent_at, outcome)
 
     def connectionLost(self, reason: Optional[Failure] = None) -> None:  # noqa: N802  # Twisted's
-        """Twisted: the connection was closed."""
+        """Called by Twisted when the connection was closed."""
         self.driver.connection_closed(self)
         if self.in_flight is not None:
             request = self.in_flight
@@ -119,13 +119,13 @@
         self.request_to_resend = request_to_resend
 
     def buildProtocol(self, addr: Optional[IAddress]) -> Connection:  # noqa: N802  # Twisted's name
-        """Twisted: the connection is established."""
+        """Called by Twisted when the connection is established."""
         return Connection(self.driver, self.request_to_resend)
 
     def clientConnectionFailed(  # noqa: N802  # Twisted's name
         self, connector: IConnector, reason: Failure
     ) -> None:
-        """Twisted: the connection could not be established."""
+        """Called by Twisted when the connection could not be established."""
         self.driver.connection_failed(self.request_to_resend)
 
 
