--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -1014,7 +1014,8 @@
                 for call in log.call_args_list
                 if call.args[0] == "late response discarded"
             ]
-            self.assertRegex(lines[-1], "^(unreadable response|response larger than)")  # what was malformed
+            # Says what was malformed.
+            self.assertRegex(lines[-1], "^(unreadable response|response larger than)")
         other_connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(other.transport.value(), b"$1\r\nv\r\n")
         connection.connectionLost(Failure(ConnectionLost()))
