--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -213,7 +213,8 @@
         client_socket.sendall(PING[5:])
         network.advance_time(COMMAND_TIMEOUT + 10)
         self.assertEqual(
-            (connection.reading, connection.input_valid, connection.parser.held), (False, True, 5)
+            (connection.reading, connection.input_valid, connection.parser.buffered_bytes),
+            (False, True, 5),
         )
         for _ in range(9):
             network.advance_time(5_000)  # the deadlines of the pending requests pass
--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -93,9 +93,9 @@
     def dial(self, stream, failed, late):
         stream.makeConnection(Transport())
         self.call(
-            lambda accepted: stream.over or stream.dataReceived(HEAD % (200 if accepted else 503))
+            lambda accepted: stream.closed or stream.dataReceived(HEAD % (200 if accepted else 503))
         )
-        stream.transport.abortConnection = lambda: stream.over or stream.connectionLost(self)
+        stream.transport.abortConnection = lambda: stream.closed or stream.connectionLost(self)
 
     def getErrorMessage(self):
         return "ended"
--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -155,7 +155,7 @@
             with self.assertRaises(resp.MalformedRespError):
                 for at in range(0, len(data), 65536):
                     list(parser.feed(data[at : at + 65536]))
-                    self.assertLessEqual(parser.held, commands.MAX_COMMAND_BYTES)
+                    self.assertLessEqual(parser.buffered_bytes, commands.MAX_COMMAND_BYTES)
             self.assertLess(time.process_time() - started_at, 0.1)
 
     def test_endpoint_responses(self):
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -177,7 +177,7 @@
         network.ask("01")
         connection = network.connect()
         connection.resumeProducing()
-        attempt = connection.begun.__self__
+        attempt = connection.on_response_started.__self__
         connection.dataReceived(VALUE_RESPONSE)
         self.assertIs(attempt.in_flight, False)
         self.assertNotIn(
@@ -1007,7 +1007,7 @@
                     connection.dataReceived(content[offset : offset + 65536])
                     bytes_read += len(content[offset : offset + 65536])
         self.assertTrue(connection.transport.disconnected, content[:20])
-        self.assertEqual(connection.parser.held, 0)
+        self.assertEqual(connection.parser.buffered_bytes, 0)
         if not client.transport.value().startswith(b"$"):
             lines = [
                 call.kwargs["reason"]
--- a/thymeknot/decision_log/explanations.py
+++ b/thymeknot/decision_log/explanations.py
@@ -113,11 +113,11 @@
     )
 
 
-def _explain_time_over(left: int, mean: int) -> Explanation:
+def _explain_time_over(time_left: int, mean: int) -> Explanation:
     if not mean:
         return Explanation("the client's deadline had passed")
     return Explanation(
-        f"{format_milliseconds(max(0, left))} were left, and a response takes"
+        f"{format_milliseconds(max(0, time_left))} were left, and a response takes"
         f" {format_milliseconds(mean)} on average: it would come too late to be of use"
     )
 
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -201,7 +201,7 @@
 
 
 def _apply_rollback_vote(
-    rollouts: Rollouts, release: Release, why: str | None, enforce_halt: Callable[[Halt], None]
+    rollouts: Rollouts, release: Release, reason: str | None, enforce_halt: Callable[[Halt], None]
 ) -> VotedBackReply:
     if release.state not in (ReleaseState.RUNNING, ReleaseState.HALTED):
         raise CommandRejectedError(
@@ -210,7 +210,7 @@
     halt = rollouts.halts.add(
         rollouts.fleet.at,
         HaltCause.VOTE,
-        why or "the decision module voted back",
+        reason or "the decision module voted back",
         "vote",
         release=release.name,
     )
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -184,15 +184,15 @@
 
         Running releases with units in the budget are halted until an operator resumes them.
         """
-        why = scheduler.describe_usage(self.fleet, usage)
-        by = "budget " + usage.name
+        reason = scheduler.describe_usage(self.fleet, usage)
+        ordered_by = "budget " + usage.name
         try:
             self._enforce_halt(
                 self.halts.add(
                     self.fleet.at,
                     HaltCause.BUDGET,
-                    why,
-                    by,
+                    reason,
+                    ordered_by,
                     selector=usage.selector,
                     budget=usage.name,
                 )
@@ -204,7 +204,11 @@
                 ):
                     self._enforce_halt(
                         self.halts.add(
-                            self.fleet.at, HaltCause.CRASHES, why, by, release=release.name
+                            self.fleet.at,
+                            HaltCause.CRASHES,
+                            reason,
+                            ordered_by,
+                            release=release.name,
                         )
                     )
         except CommandRejectedError:
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -186,7 +186,7 @@
             allow_grace: Whether unread data extends the timeout once.
         """
         self.command_timer = None
-        if not self.input_valid or (self.command_received and not self.parser.held):
+        if not self.input_valid or (self.command_received and not self.parser.buffered_bytes):
             return
         if not self.reading:  # the rest may have arrived: it is this side that has paused reading
             self._expect_command(COMMAND_TIMEOUT)
@@ -194,7 +194,7 @@
             self.command_timer = self.timers.add(
                 self.timers.clock() + LATE_READ_GRACE, self._command_overdue, False
             )
-        elif self.parser.held:
+        elif self.parser.buffered_bytes:
             self.input_valid = False
             self.answer(self._reserve_response(), resp.failure("ERR no whole command in time"))
             self.finish()
@@ -255,7 +255,7 @@
 
     def is_idle(self) -> bool:
         """Returns whether no request is in flight and none has begun to arrive."""
-        return not self.pending_responses and not self.parser.held
+        return not self.pending_responses and not self.parser.buffered_bytes
 
     def awaits_first_command(self, now: Ticks) -> bool:
         """Returns whether the connection is new, and its first command probably in transit."""
@@ -280,7 +280,7 @@
         except Exception as error:  # a bug here must only cost this connection
             self.owner.fault("client connection", error)
             self.transport.abortConnection()
-        if self.parser.held and self.input_valid and self.command_timer is None:
+        if self.parser.buffered_bytes and self.input_valid and self.command_timer is None:
             self._expect_command(COMMAND_TIMEOUT)
         if self.closing:
             self.finish()
--- a/thymeknot/protocol/command.py
+++ b/thymeknot/protocol/command.py
@@ -106,7 +106,7 @@
             MalformedRespError: Not RESP2, a nested array, or larger than the maximum.
         """
         yield from super().feed(data)
-        if self.held > MAX_COMMAND_BYTES:
+        if self.buffered_bytes > MAX_COMMAND_BYTES:
             raise resp.MalformedRespError(f"a command of over {MAX_COMMAND_BYTES} bytes")
 
     def _array(self, buffer: bytes, at: int, length: int, depth: int) -> tuple[Any, int]:
--- a/thymeknot/protocol/http.py
+++ b/thymeknot/protocol/http.py
@@ -86,10 +86,10 @@
         buffer = self.rest + data if self.rest else data
         at = 0
         while True:
-            found, at = self.state(buffer, at)
-            if found is None:
+            parts, at = self.state(buffer, at)
+            if parts is None:
                 break
-            yield from found
+            yield from parts
         self.rest = buffer[at:]
 
     def _line(self, buffer: bytes, at: int, max_bytes: int) -> tuple[bytes | None, int]:
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -71,7 +71,7 @@
         connector: The factory that made this connection.
         parser: Parses the responses.
         pending_response: Fires with the result of the current attempt; None if there is none.
-        begun: Called when a response has begun to arrive.
+        on_response_started: Called when a response has begun to arrive.
         given_up: Whether the attempt has been given up, and the sending side is shut down.
         slot: Set by the owner: the connection's key in its table.
         last_used_at: Set by the owner: when the connection became idle.
@@ -85,7 +85,7 @@
         self.connector = connector
         self.parser: resp.Parser = ResponseParser(MAX_VALUE_BYTES)
         self.pending_response: Deferred[PodResponse | BrokenConnection] | None = None
-        self.begun: Callable[[], None] = ignore
+        self.on_response_started: Callable[[], None] = ignore
         self.given_up = False
         self.slot: Any = None
         self.last_used_at: Any = None
@@ -126,7 +126,7 @@
         """
         pending: Deferred[PodResponse | BrokenConnection] = Deferred()
         self.pending_response = pending
-        self.begun = on_response_started
+        self.on_response_started = on_response_started
         self.write_request(resp.command(words))
         return pending
 
@@ -149,8 +149,8 @@
             self._complete(self.pending_response, response, excess_data)
             return
         if not self.parser.begins_with(b"-"):
-            on_response_started = self.begun
-            self.begun = ignore
+            on_response_started = self.on_response_started
+            self.on_response_started = ignore
             on_response_started()
         if error or messages:
             self.drop(error or "unreadable response")
@@ -163,7 +163,7 @@
             messages += self.parser.feed(data)
         except resp.MalformedRespError as malformed:
             error = f"unreadable response: {malformed}"
-        if self.parser.held > MAX_RESPONSE_BYTES:
+        if self.parser.buffered_bytes > MAX_RESPONSE_BYTES:
             error = error or f"response larger than {MAX_RESPONSE_BYTES} bytes"
         if error:  # an error after a complete value does not invalidate the value
             messages = messages or [[value] for value in self.parser.first_element()]
@@ -179,10 +179,12 @@
         self.pending_response = None
         # Even a late response is reported, since it proves that the request was executed.
         try:
-            if self.given_up or excess_data or self.parser.held or not self.is_clean():
+            if self.given_up or excess_data or self.parser.buffered_bytes or not self.is_clean():
                 self.drop("data after the response, or closed by the endpoint")
             else:
-                self.begun = ignore  # an idle connection must not keep the attempt alive
+                self.on_response_started = (
+                    ignore  # an idle connection must not keep the attempt alive
+                )
                 self.owner.response_received(self)
         finally:  # the response counts, whatever happens to the connection
             pending.callback(response)
@@ -195,7 +197,7 @@
         self._fail(reason)
         # Frees buffers and the attempt, since the closed connection may be referenced for longer.
         self.parser = resp.Parser(0)
-        self.begun = ignore
+        self.on_response_started = ignore
         self.attempt = None
 
     def give_up(self) -> None:
--- a/thymeknot/protocol/resp.py
+++ b/thymeknot/protocol/resp.py
@@ -52,14 +52,14 @@
 
     Attributes:
         chunks: Received data that is not parsed yet.
-        held: The total size of `chunks`.
+        buffered_bytes: The total size of `chunks`.
         needed: The minimum size that `chunks` must reach before the next message can be complete.
         max_bulk_bytes: The maximum size of a bulk string.
     """
 
     def __init__(self, max_bulk_bytes: int = MAX_BULK_BYTES) -> None:
         self.chunks: list[bytes] = []
-        self.held = 0
+        self.buffered_bytes = 0
         self.needed = 0
         self.max_bulk_bytes = max_bulk_bytes
 
@@ -70,8 +70,8 @@
             MalformedRespError: Invalid input; the valid messages before it have been yielded.
         """
         self.chunks.append(data)
-        self.held += len(data)
-        if self.held < self.needed:  # avoids joining a long value again for each chunk
+        self.buffered_bytes += len(data)
+        if self.buffered_bytes < self.needed:  # avoids joining a long value again for each chunk
             return
         buffer = data if len(self.chunks) == 1 else b"".join(self.chunks)
         at = 0
@@ -85,7 +85,7 @@
         else:
             self.needed = 0
         self.chunks = [buffer[at:]] if at < len(buffer) else []
-        self.held = len(buffer) - at
+        self.buffered_bytes = len(buffer) - at
 
     def begins_with(self, kind: bytes) -> bool:
         """Returns whether an incomplete message of this type, given by its first byte, is held."""
@@ -103,12 +103,12 @@
                 yield element
 
     def _line(self, buffer: bytes, at: int) -> tuple[bytes | None, int]:
-        found = buffer.find(b"\r\n", at, at + MAX_LINE_BYTES)
-        if found < 0:
+        line_end = buffer.find(b"\r\n", at, at + MAX_LINE_BYTES)
+        if line_end < 0:
             if len(buffer) - at >= MAX_LINE_BYTES:
                 raise MalformedRespError("a line without an end")
             return None, len(buffer) + 1
-        return buffer[at + 1 : found], found + 2
+        return buffer[at + 1 : line_end], line_end + 2
 
     def _message(self, buffer: bytes, at: int, depth: int) -> tuple[Any, int]:
         """Returns the message at an offset and its end, or INCOMPLETE and its minimum end."""
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -31,7 +31,7 @@
         requested_at: When the connection attempt began.
         parser: Parses the response.
         status_ok: Whether the status is 200.
-        over: Whether the connection is lost, or was never established.
+        closed: Whether the connection is lost, or was never established.
         connector: Twisted's connector, set by the owner once it exists.
     """
 
@@ -47,7 +47,7 @@
         self.requested_at: Ticks = owner.timers.clock()
         self.parser = http.Parser()
         self.status_ok = False
-        self.over = False
+        self.closed = False
         self.connector: Any = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
@@ -92,12 +92,12 @@
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
-        self.over = True
+        self.closed = True
         self.owner.ended(self, reason.getErrorMessage())
 
     def not_connected(self, broken: BrokenConnection) -> None:
         """The connection could not be established."""
-        self.over = True
+        self.closed = True
         self.owner.ended(self, broken.reason, result=CallResult.LOST)
 
     def connect_overdue(self) -> None:
@@ -107,7 +107,7 @@
 
     def drop(self) -> None:
         """Aborts the connection or the connection attempt."""
-        if self.over:
+        if self.closed:
             return
         if self.transport is None:
             self.connector.stopConnecting()
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -116,9 +116,9 @@
     def accept_all(self) -> None:
         """Accepts the whole backlog; the reactor accepts only some at a time."""
         for _ in range(self.sockets):
-            before = self.port.sessionno
+            previous_session = self.port.sessionno
             self.port.doRead()
-            if self.port.sessionno == before or self.accepting_paused:
+            if self.port.sessionno == previous_session or self.accepting_paused:
                 return
 
     # Callbacks of the connections.
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -79,15 +79,15 @@
 
 def _value_at(value: Any, path: str, expected: type | tuple[type, ...], *default: Any) -> Any:
     """Returns the value at a dotted path, checked for its type."""
-    *inner, last = path.split(".")
-    for index, name in enumerate(inner, 1):
+    *parents, key = path.split(".")
+    for index, name in enumerate(parents, 1):
         value = value.get(name)
         value = {} if value is None else value  # null counts as missing
         if not isinstance(value, dict):
             raise ConfigurationError(
-                f"{'.'.join(inner[:index])}: is not an object: {value!r}"[:MAX_ERROR_LENGTH]
+                f"{'.'.join(parents[:index])}: is not an object: {value!r}"[:MAX_ERROR_LENGTH]
             )
-    value = value.get(last)
+    value = value.get(key)
     if value is None and default:
         return default[0]
     if value is None:
