--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -117,7 +117,7 @@
         Returns whether there is room for one more.
         """
         if len(self.by_name) >= MAX_RELEASES:
-            ended = min(
+            oldest_ended = min(
                 (
                     release
                     for release in self.by_name.values()
@@ -126,9 +126,9 @@
                 key=lambda release: release.number,
                 default=None,
             )
-            if ended is None:
+            if oldest_ended is None:
                 return False
-            del self.by_name[ended.name]
+            del self.by_name[oldest_ended.name]
         return True
 
     def find_conflicting(self, release: Release | None, members: set[str]) -> Release | None:
@@ -157,11 +157,11 @@
 
     def transition(self, release: Release, event: ReleaseInput) -> bool:
         """Applies an input by RELEASE_TRANSITIONS; returns False if it has no transition."""
-        step = RELEASE_TRANSITIONS.get((release.state, event))
-        if step is None:
+        transition = RELEASE_TRANSITIONS.get((release.state, event))
+        if transition is None:
             return False
-        release.state = step.state
-        self._effects[step.effect](release)
+        release.state = transition.state
+        self._effects[transition.effect](release)
         return True
 
     def _wait_for_next_round(self, release: Release) -> None:
--- a/thymeknot/gang_scheduling/fairness.py
+++ b/thymeknot/gang_scheduling/fairness.py
@@ -81,24 +81,24 @@
         """Returns the first gang in the queue for which capacity is held against the named gang."""
         state = self._state
         own_key = self._queue_key(name)
-        first: tuple[QueueKey, str] | None = None
-        for other, waiting in state.gangs.items():
+        head: tuple[QueueKey, str] | None = None
+        for other_name, waiting in state.gangs.items():
             if (
-                other == name
+                other_name == name
                 or waiting.state != GangState.OFFERED
                 or waiting.backoff_until > state.now
             ):
                 continue
-            key = self._queue_key(other)
-            if key >= own_key or (first is not None and key >= first[0]):
+            key = self._queue_key(other_name)
+            if key >= own_key or (head is not None and key >= head[0]):
                 continue
             waited_long = state.now - waiting.waiting_since >= self._settings.capacity_hold_wait
             shape = waiting.gang.resource_shape()
             if (key[0] < own_key[0] or waited_long) and (
                 state.topology.empty_capacity(shape) >= waiting.gang.workers
             ):
-                first = (key, other)
-        return first[1] if first else None
+                head = (key, other_name)
+        return head[1] if head else None
 
     def _head_capacity_after(
         self, record: GangRecord, placement: Mapping[str, int], head: Gang
--- a/thymeknot/gossip/own_experience.py
+++ b/thymeknot/gossip/own_experience.py
@@ -108,9 +108,9 @@
 
     def failure_rate_without(self, now: Ticks, observed: ObservedEndpoint) -> float | None:
         """Returns the failure rate of the other endpoints, or None after too few attempts."""
-        own = observed.counts(now)
-        attempts = int(self._attempts.total(now)) - own.attempts
-        failures = int(self._failures.total(now)) - own.failures
+        own_counts = observed.counts(now)
+        attempts = int(self._attempts.total(now)) - own_counts.attempts
+        failures = int(self._failures.total(now)) - own_counts.failures
         return (
             max(MIN_FAILURE_RATE, failures / attempts)
             if attempts >= MIN_ATTEMPTS_TO_COMPARE
--- a/thymeknot/gossip/suspicion.py
+++ b/thymeknot/gossip/suspicion.py
@@ -151,7 +151,9 @@
             self._ready_by_build[key.build] = self._ready_by_build.get(key.build, 0) + 1
         for tracked in (self._failing, self._suspected):
             for name in [
-                name for name, own in tracked.items() if self._observed.get(name) is not own
+                name
+                for name, endpoint in tracked.items()
+                if self._observed.get(name) is not endpoint
             ]:
                 del tracked[name]
         self._retain_evidence(lambda key, origin: self._is_listed(key))
@@ -227,7 +229,9 @@
         """
         max_age = self._settings.lapse
         for name in [
-            name for name, own in self._failing.items() if now - own.last_failure_at > max_age
+            name
+            for name, endpoint in self._failing.items()
+            if now - endpoint.last_failure_at > max_age
         ]:
             del self._failing[name]
         reported = {key.id: self._observed[key.id] for key in self.evidence}
@@ -288,10 +292,10 @@
         to_suspect: dict[ObservedEndpoint, float] = {}
         for key, records in self.evidence.items():
             observed = self._observed[key.id]
-            own = observed.fresh_counts(now)
-            if own.attempts >= MIN_ATTEMPTS_TO_JUDGE:
-                self._update_credibility(records, own.failures / own.attempts)
-            weighted_failures = self._failure_weight(records, observed, own, now, is_alive)
+            own_counts = observed.fresh_counts(now)
+            if own_counts.attempts >= MIN_ATTEMPTS_TO_JUDGE:
+                self._update_credibility(records, own_counts.failures / own_counts.attempts)
+            weighted_failures = self._failure_weight(records, observed, own_counts, now, is_alive)
             if weighted_failures:
                 to_suspect[observed] = weighted_failures
         return self._update_suspicions(now, to_suspect)
@@ -313,21 +317,27 @@
         self,
         records: Mapping[str, ReceivedEvidence],
         observed: ObservedEndpoint,
-        own: AttemptCounts,
+        own_counts: AttemptCounts,
         now: Ticks,
         is_alive: Callable[[str], bool],
     ) -> float | None:
         """Returns the weighted failures at an endpoint, or None if they justify no suspicion."""
         settings = self._settings
-        if own.attempts >= MIN_OWN_ATTEMPTS and own.failures / own.attempts < settings.bar:
+        if (
+            own_counts.attempts >= MIN_OWN_ATTEMPTS
+            and own_counts.failures / own_counts.attempts < settings.bar
+        ):
             return None  # own fresh attempts outweigh evidence of others
         by_group = self._evidence_by_group(records, is_alive)
         witnesses = sum(counts.failures / counts.attempts >= settings.bar for counts in by_group)
-        if own.failures and own.failures / own.attempts >= settings.bar:
+        if own_counts.failures and own_counts.failures / own_counts.attempts >= settings.bar:
             witnesses += 1
         if witnesses < settings.witnesses:
             return None
-        trimmed = [*self._trim_extremes(by_group), _WeightedCounts(own.attempts, own.failures)]
+        trimmed = [
+            *self._trim_extremes(by_group),
+            _WeightedCounts(own_counts.attempts, own_counts.failures),
+        ]
         attempts = sum(counts.attempts for counts in trimmed)
         failures = sum(counts.failures for counts in trimmed)
         others_failure_rate = self._totals.failure_rate_without(now, observed) or MIN_FAILURE_RATE
--- a/thymeknot/policy/sequential_test.py
+++ b/thymeknot/policy/sequential_test.py
@@ -94,7 +94,7 @@
         self.outcomes = 0
         self._sums_by_endpoint: dict[tuple[Symptom, str], float] = {}
         self._sums_by_zone: dict[tuple[Symptom, str], float] = {}
-        self._left_in_second: dict[Symptom, tuple[Ticks, float]] = {}
+        self._remaining_in_second: dict[Symptom, tuple[Ticks, float]] = {}
 
     def reset(self) -> None:
         """Discards all sums, for another release."""
@@ -115,7 +115,7 @@
         self._sums_by_zone = _only_failures(self._sums_by_zone)
         self.outcomes = 0
         self.evidence_ratio = 0.0
-        self._left_in_second = {}
+        self._remaining_in_second = {}
 
     def add(self, symptom: Symptom, has_symptom: bool, endpoint: Endpoint | None = None) -> None:
         """Adds an outcome.
@@ -139,7 +139,7 @@
         endpoint_sum = self._sums_by_endpoint.get(endpoint_key, 0.0)
         endpoint_bound = MAX_RATIO_PER_ENDPOINT[symptom] * abort_bound
         current_second = self.context.now // TICKS_PER_SECOND
-        last_second, remaining = self._left_in_second.get(symptom, (-1, 0.0))
+        last_second, remaining = self._remaining_in_second.get(symptom, (-1, 0.0))
         if last_second != current_second:
             single_vote = self.context.settings.votes_to_revert == 1
             remaining = MAX_RATIO_PER_SECOND[symptom, single_vote] * abort_bound
@@ -152,7 +152,7 @@
         )
         self._sums_by_endpoint[endpoint_key] = endpoint_sum + step
         self._sums_by_zone[zone_key] = max(-zone_bound, zone_sum + step)
-        self._left_in_second[symptom] = current_second, remaining - max(0.0, step)
+        self._remaining_in_second[symptom] = current_second, remaining - max(0.0, step)
         return step
 
     def add_step(self, symptom: Symptom, step: float) -> None:
