--- a/thymeknot/policy/baseline.py
+++ b/thymeknot/policy/baseline.py
@@ -143,7 +143,7 @@
             if total < min_outcomes:
                 continue
             for symptom, window in counts:
-                # A single failure is enough to recognise a storm of failures; the rate of slow
+                # A single failure is enough to recognize a storm of failures; the rate of slow
                 # responses needs more outcomes.
                 total = max(total, 2 * MIN_OUTCOMES if symptom == Symptom.SLOW else 2)
                 rate = max(
--- a/thymeknot/polling/adaptive_interval.py
+++ b/thymeknot/polling/adaptive_interval.py
@@ -9,7 +9,7 @@
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 
-# The regular interval is drawn between these two, so that callers do not synchronise.
+# The regular interval is drawn between these two, so that callers do not synchronize.
 MIN_REGULAR_INTERVAL: Ticks = 2_000
 MAX_REGULAR_INTERVAL: Ticks = 8_000
 # Longest wait between calls to a shared service, so that updates still arrive.
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -51,24 +51,24 @@
     accepting_paused: bool
 
     def connection_opened(self, connection: "ClientConnection") -> None:
-        """A connection was accepted."""
+        """Called when a connection has been accepted."""
 
     def request_received(
         self, connection: "ClientConnection", sequence: int, command: Command
     ) -> None:
-        """A request has been read; its response belongs to this sequence number."""
+        """Called when a request has been read; its response belongs to this sequence number."""
 
     def client_gone(self, connection: "ClientConnection") -> None:
-        """The client has disconnected, or no longer waits for responses."""
+        """Called when the client has disconnected, or no longer waits for responses."""
 
     def connection_closed(self, connection: "ClientConnection") -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
 
     def connection_became_idle(self) -> None:
-        """All requests of a connection are answered while accepting is paused."""
+        """Called when all requests of a connection are answered while accepting is paused."""
 
     def fault(self, where: str, error: Exception) -> None:
-        """An unexpected exception was caught."""
+        """Called when an unexpected exception was caught."""
 
 
 @implementer(IHalfCloseableProtocol)
@@ -155,7 +155,7 @@
         self.owner.connection_closed(self)
 
     def readConnectionLost(self) -> None:  # noqa: N802 (Twisted's name)
-        """The client has shut down its sending side, so it counts as disconnected.
+        """Called when the client has shut down its sending side, so it counts as disconnected.
 
         Pending requests are not forwarded. Responses that are already written are still flushed,
         since the client may be reading them.
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -96,7 +96,7 @@
         self.owner.ended(self, reason.getErrorMessage())
 
     def not_connected(self, broken: BrokenConnection) -> None:
-        """The connection could not be established."""
+        """Called when the connection could not be established."""
         self.closed = True
         self.owner.ended(self, broken.reason, result=CallResult.LOST)
 
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -71,7 +71,7 @@
     def notify_on_data(self, on_data: Callable[[], None]) -> None:
         """Calls on_data() whenever the watch stream has received data.
 
-        Lists in the data have been applied by then; an empty line says that there is no newer list.
+        Lists in the data have been applied by then; an empty line means that no list is newer.
         """
         self.watch.make_reader = lambda: notifying_reader(self._watch_reader(), on_data)
 
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -89,7 +89,7 @@
     def _close_listener(self) -> None:
         """Closes the port, even if some connections still wait to be accepted.
 
-        Otherwise a continuous stream of new clients would delay the shutdown for ever.
+        Otherwise a continuous stream of new clients would delay the shutdown forever.
         """
         self.timers.cancel(self._close_timer)
         self.listener.listening = False
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -90,7 +90,7 @@
         gossip: Gossip, notified of ended attempts and endpoint lists; None without the feature.
         why: The decision log, notified when requests start and end; None without the feature.
         fleet: Coordination, which drains this instance on command; None without the feature.
-        rejections: Summarises why requests are rejected.
+        rejections: Summarizes why requests are rejected.
         engine: The decision engine.
         endpoints: The endpoint list.
         releases: Votes and release updates.
@@ -358,7 +358,7 @@
         """Ends an attempt whose request was released meanwhile, as the client had disconnected.
 
         The engine keeps an attempt in flight until an end with its number is reported; with
-        another number it would keep the request for ever.
+        another number it would keep the request forever.
         """
         self.pending_events.append(
             AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, action.endpoint, action.number, None)
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -1,4 +1,4 @@
-"""Summarises why requests are rejected or fail, in one log line every few seconds.
+"""Summarizes why requests are rejected or fail, in one log line every few seconds.
 
 It receives the reasons that the decision engine reports. If no request was rejected or failed,
 nothing is logged. The number of counters is bounded, since the set of reasons is closed.
