--- a/thymeknot/cli/decision_log_commands.py
+++ b/thymeknot/cli/decision_log_commands.py
@@ -27,7 +27,7 @@
 
 
 class IdOrCommandGroup(click.Group):
-    """Accepts `why ID` besides `why find ...`: an unknown command is an id."""
+    """Accepts `why ID` as well as `why find ...`: an unknown command is an id."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
@@ -63,7 +63,7 @@
 
 @libraries_from(COMMANDS)
 def _run_query(context: click.Context, query: dict[str, Any]) -> None:
-    """Prints the answer; exits with 0 if it has entries, 1 if not, 3 if nobody answers."""
+    """Prints the answer; exits with 0 if it has entries, 1 if not, 3 if there is no answer."""
     address, path, as_json = context.obj
     result_count = 0
     try:
--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -157,7 +157,7 @@
         }
 
     def local_bound(self) -> Ticks:
-        """The bound in ticks of the agent's clock, reduced by the possible drift of that clock."""
+        """Returns the bound in ticks of the agent's clock, reduced by its possible drift."""
         return self.settings.bound - self.settings.bound * self.settings.drift // 1000
 
     def is_frozen(self, now: Ticks) -> bool:
@@ -186,7 +186,7 @@
         return self._pop_actions()
 
     def receive_reply(self, now: Ticks, token: int, reply: Any) -> list[Action]:
-        """Handles a reply; ignores it if its token is unknown or repeated, or it is no mapping."""
+        """Handles a reply; ignores it if its token is unknown or repeated, or it is malformed."""
         pending = self.pending_commands.pop(token, None)
         if pending is None or not isinstance(reply, dict):
             return self._pop_actions()
--- a/thymeknot/disruption/command_reader.py
+++ b/thymeknot/disruption/command_reader.py
@@ -50,7 +50,7 @@
     """The values that a field allows.
 
     Attributes:
-        is_valid: Tells whether a value is allowed.
+        is_valid: Returns whether a value is allowed.
         expected: The allowed values in words, for rejections.
     """
 
--- a/thymeknot/disruption/targets.py
+++ b/thymeknot/disruption/targets.py
@@ -105,7 +105,7 @@
         return asdict(self)
 
     def halt_bound(self) -> Ticks:
-        """Ticks after a halt until no agent can begin, even with the slowest clock allowed."""
+        """Returns the ticks after a halt until no agent can begin, even with the slowest clock."""
         return self.bound + self.bound * self.drift // 1000 + 1
 
 
--- a/thymeknot/gang_scheduling/fairness.py
+++ b/thymeknot/gang_scheduling/fairness.py
@@ -119,7 +119,7 @@
     def check_preemption(
         self, command: Preempt, victim: GangRecord, beneficiary: GangRecord
     ) -> None:
-        """Checks whether a gang may be preempted in favor of another.
+        """Checks whether a gang may be preempted in favour of another.
 
         Raises:
             CommandRejectedError: The preemption is not allowed.
--- a/thymeknot/gang_scheduling/jobs.py
+++ b/thymeknot/gang_scheduling/jobs.py
@@ -40,7 +40,7 @@
     """How the lost workers of a gang are replaced. The values appear in replies."""
 
     IN_PLACE = "in place"  # the surviving workers stay where they are
-    WHOLE = "whole"  # all workers are placed anew
+    WHOLE = "whole"  # all workers get a new placement
 
 
 class Gang(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/thymeknot/gossip/peer_hints.py
+++ b/thymeknot/gossip/peer_hints.py
@@ -45,7 +45,7 @@
         """Asks a random peer for hints periodically, more often while new ones arrive."""
         context = self._context
         # The interval starts only once a peer is live. Otherwise a new instance would use its first
-        # turn without anybody to ask and wait for the next one.
+        # turn without a peer to ask and wait for the next one.
         if now < self._next_request_at or not context.members.live:
             return
         interval = context.settings.probe_every if self._has_new_hints else REQUEST_INTERVAL
--- a/thymeknot/raft/membership.py
+++ b/thymeknot/raft/membership.py
@@ -189,7 +189,7 @@
             self._transfer = None
 
     def reject_transfer(self, reason: str) -> None:
-        """Rejects the transfer in progress because this node is no longer leader."""
+        """Rejects the transfer in progress because this node is no longer the leader."""
         if self._transfer is not None:
             retry_after = self.state.settings.election_timeout.maximum
             self.state.outbox.emit(RequestRejected(self._transfer.token, reason, retry_after, None))
--- a/thymeknot/raft/node_interface.py
+++ b/thymeknot/raft/node_interface.py
@@ -156,7 +156,7 @@
 
 
 class SteppedDown(NamedTuple):
-    """The node is no longer leader, or it stopped because its disk failed."""
+    """The node is no longer the leader, or it stopped because its disk failed."""
 
     reason: str
 
--- a/thymeknot/raft/reads.py
+++ b/thymeknot/raft/reads.py
@@ -117,7 +117,7 @@
         self._pending = still_pending
 
     def reject_all(self, reason: str) -> None:
-        """Rejects all pending reads because this node is no longer leader."""
+        """Rejects all pending reads because this node is no longer the leader."""
         retry_after = self.state.settings.election_timeout.maximum
         for read in self._pending:
             self.state.outbox.emit(RequestRejected(read.token, reason, retry_after, None))
--- a/thymeknot/raft/simulated_cluster.py
+++ b/thymeknot/raft/simulated_cluster.py
@@ -90,13 +90,13 @@
     """Receives the outcomes of commands and reads."""
 
     def command_completed(self, host: Host, effect: CommandCompleted) -> None:
-        """A command completed with a reply."""
+        """Called when a command has completed with a reply."""
 
     def read_ready(self, host: Host, effect: ReadReady) -> None:
-        """A read may be served from the register."""
+        """Called when a read may be served from the register."""
 
     def request_rejected(self, host: Host, effect: RequestRejected) -> None:
-        """A command or read was rejected."""
+        """Called when a command or read was rejected."""
 
 
 class SimulatedCluster:
