--- a/thymeknot/cli/coordination_commands.py
+++ b/thymeknot/cli/coordination_commands.py
@@ -61,7 +61,7 @@
         raise CoordinationCommandError(f"{path}: {error}") from None
     return BlockingClient(
         parts.identity,
-        parts.ring,
+        parts.keyring,
         {member.name: member.address for member in settings.keepers},
         # A new session id for each call: two operators with the same identity must not end each
         # other's session.
--- a/thymeknot/cli/key_commands.py
+++ b/thymeknot/cli/key_commands.py
@@ -17,9 +17,9 @@
 @libraries_from(GOSSIP)
 def keys_new(context: click.Context, name: str, file: str) -> None:
     """Create a key and print its keyring entry."""
-    from ..gossip import keys as ring  # noqa: PLC0415  requires extra libraries
+    from ..gossip import keys as gossip_keys  # noqa: PLC0415  requires extra libraries
 
-    context.exit(ring.main(["new", name, file]))
+    context.exit(gossip_keys.main(["new", name, file]))
 
 
 @keys.command("show")
@@ -29,6 +29,6 @@
 @libraries_from(GOSSIP)
 def keys_show(context: click.Context, name: str, file: str) -> None:
     """Print the keyring entry of an existing key."""
-    from ..gossip import keys as ring  # noqa: PLC0415  requires extra libraries
+    from ..gossip import keys as gossip_keys  # noqa: PLC0415  requires extra libraries
 
-    context.exit(ring.main(["show", name, file]))
+    context.exit(gossip_keys.main(["show", name, file]))
--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -59,7 +59,7 @@
     def __init__(
         self,
         identity: Identity,
-        ring: Keyring,
+        keyring: Keyring,
         addresses: Mapping[str, str],
         client_name: str,
         incarnation: int,
@@ -68,13 +68,13 @@
 
         Args:
             identity: The name and private key that the client signs with.
-            ring: The keyring with the public keys of the nodes.
+            keyring: The keyring with the public keys of the nodes.
             addresses: HOST:PORT of each node, by name.
             client_name: Distinguishes this client from others of the same identity.
             incarnation: A number that grows with each client of the same name.
         """
         self.identity = identity
-        self.ring = ring
+        self.keyring = keyring
         self.addresses = dict(addresses)
         self.origin = f"{identity.name}/{client_name}"
         self.incarnation = incarnation
@@ -180,7 +180,7 @@
                 "refused", box[b"_error_description"].decode("utf-8", "replace")
             )
         message = message_codec.open_message(
-            self.ring,
+            self.keyring,
             time.time(),
             self.identity.name,
             connection.session,
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -34,13 +34,13 @@
 
     Attributes:
         identity: This instance's name and private key.
-        ring: The public keys of all peers that may send messages.
+        keyring: The public keys of all peers that may send messages.
         networks: The networks from which peers may connect.
         declaration: The commands that declare the operator's units and budgets.
     """
 
     identity: Identity
-    ring: Keyring
+    keyring: Keyring
     networks: AllowedNetworks
     declaration: list[dict[str, Any]]
 
@@ -62,7 +62,7 @@
     try:
         with open(os.path.join(folder, settings.key), "rb") as source:
             identity = read_identity(settings.name, source.read())
-        ring = Keyring(settings.ring_peers(), settings.revoked)
+        keyring = Keyring(settings.keyring_peers(), settings.revoked)
         networks = AllowedNetworks(settings.from_)
     except OSError as error:
         raise CoordinationSettingsError(
@@ -70,9 +70,9 @@
         ) from None
     except KeyringError as error:
         raise CoordinationSettingsError(("fleet",), str(error)) from None
-    if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
+    if keyring.owner(identity.key_id, time.time()) not in (None, settings.name):
         raise CoordinationSettingsError(("fleet", "key"), "belongs to another name in the keyring")
-    return CoordinationParts(identity, ring, networks, declaration_commands(settings, section))
+    return CoordinationParts(identity, keyring, networks, declaration_commands(settings, section))
 
 
 class CoordinationFeature:
@@ -94,8 +94,10 @@
         """
         self.settings = settings
         parts = build_parts(settings, section, folder)
-        self.ring = parts.ring
-        self.context = RaftContext(proxy.reactor, proxy.timers, parts.identity, lambda: self.ring)
+        self.keyring = parts.keyring
+        self.context = RaftContext(
+            proxy.reactor, proxy.timers, parts.identity, lambda: self.keyring
+        )
         self.member: Optional[RaftMember] = None
         self.clock: Optional[ClusterClock] = None
         self.agent: Optional[DrainAgent] = None
@@ -172,7 +174,7 @@
         """
         settings, section = new_settings
         parts = build_parts(settings, section, folder)
-        self.ring = parts.ring
+        self.keyring = parts.keyring
         if self.member:
             self.member.server.allowed_hosts = parts.networks
 
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -31,13 +31,13 @@
         reactor: Twisted's event loop.
         timers: The timer queue of the sidecar.
         identity: This instance's name and private key.
-        ring: Returns the current keyring, which a reload replaces.
+        keyring: Returns the current keyring, which a reload replaces.
     """
 
     reactor: IReactorTCP
     timers: TimerQueue
     identity: Identity
-    ring: Callable[[], Keyring]
+    keyring: Callable[[], Keyring]
 
 
 class RaftMember(NamedTuple):
@@ -62,7 +62,7 @@
             node.name,
             parse_address(node.address),
             context.identity,
-            context.ring,
+            context.keyring,
             time.time,
         )
         for node in settings.keepers
@@ -112,7 +112,7 @@
         context.reactor,
         context.timers,
         context.identity,
-        context.ring,
+        context.keyring,
         networks,
         {name: channel for name, channel in channels.items() if name != settings.name},
         make_node,
--- a/thymeknot/coordination/settings.py
+++ b/thymeknot/coordination/settings.py
@@ -96,7 +96,7 @@
     permit: Ticks
     tick: Ticks
 
-    def ring_peers(self) -> tuple[Peer, ...]:
+    def keyring_peers(self) -> tuple[Peer, ...]:
         """Returns all identities of the keyring: the Raft nodes and the other peers."""
         return (*(Peer(node.name, None, node.keys) for node in self.keepers), *self.peers)
 
