--- a/thymeknot/gossip/receiver.py
+++ b/thymeknot/gossip/receiver.py
@@ -234,5 +234,5 @@
         member.address = address
         context.by_address[address] = member.name
         context.limits.set_validated_addresses(
-            [one.address for one in context.members.all.values() if one.address and one.start]
+            [peer.address for peer in context.members.all.values() if peer.address and peer.start]
         )
--- a/thymeknot/policy/endpoint_selection.py
+++ b/thymeknot/policy/endpoint_selection.py
@@ -196,15 +196,15 @@
         self._round_robin_index += MAX_CANDIDATES if large else 1
         start = self._round_robin_index % len(subset) if large else 0
         for endpoint in (subset[start:] + subset[:start])[:MAX_CANDIDATES]:
-            fraction = endpoint.warmup_fraction(now, settings)
+            warmup_fraction = endpoint.warmup_fraction(now, settings)
             avoid: Reason | None
             if not deduplicates_retry(request, endpoint.listed):
                 avoid = Reason.OUTSIDE
-            elif fraction != 1.0 and not has_room(endpoint, fraction):
+            elif warmup_fraction != 1.0 and not has_room(endpoint, warmup_fraction):
                 avoid = Reason.COLD
             else:
                 avoid = _reason_to_avoid(endpoint, now, used)
-                cost = cost_of(endpoint) * (endpoint.in_flight + 1) / fraction
+                cost = cost_of(endpoint) * (endpoint.in_flight + 1) / warmup_fraction
                 candidates.append((cost + AVOIDED_COST * (avoid is not None), endpoint))
             if avoid is not None:
                 avoided[avoid] = avoided.get(avoid, 0) + 1
@@ -240,14 +240,14 @@
             endpoint.ejected_until = self.context.now + endpoint.ejection_duration
 
     def record_response(
-        self, endpoint: EndpointState, latency: Ticks, fraction: float, mean: float
+        self, endpoint: EndpointState, latency: Ticks, warmup_fraction: float, mean: float
     ) -> None:
         """Updates the relative latency from a successful response and ends any ejection backoff.
 
         Args:
             endpoint: The endpoint that responded.
             latency: The response time.
-            fraction: The warm-up fraction of the endpoint's capacity.
+            warmup_fraction: The warm-up fraction of the endpoint's capacity.
             mean: The mean response time of the request class.
         """
         now = self.context.now
@@ -257,7 +257,7 @@
             + LATENCY_GAIN_PER_SECOND * (now - endpoint.last_response_at) / TICKS_PER_SECOND,
         )
         endpoint.relative_latency += gain * (
-            min(MAX_RELATIVE_LATENCY, latency * fraction / mean) - endpoint.relative_latency
+            min(MAX_RELATIVE_LATENCY, latency * warmup_fraction / mean) - endpoint.relative_latency
         )
         endpoint.last_response_at = now
         endpoint.ejection_duration = 0
--- a/thymeknot/policy/load_shedding.py
+++ b/thymeknot/policy/load_shedding.py
@@ -87,7 +87,7 @@
         self.request_classes: dict[str, RequestClass] = {}
 
     def record_outcome(
-        self, now: Ticks, request_class: RequestClass, event: AttemptEnded, fraction: float
+        self, now: Ticks, request_class: RequestClass, event: AttemptEnded, warmup_fraction: float
     ) -> None:
         """Records the outcome of an attempt.
 
@@ -95,7 +95,7 @@
             now: The current time.
             request_class: The request's class.
             event: The end of the attempt.
-            fraction: The warm-up fraction of the endpoint's capacity.
+            warmup_fraction: The warm-up fraction of the endpoint's capacity.
         """
         objective = request_class.latency_objective
         timed_out = (
@@ -104,7 +104,9 @@
         if timed_out or event.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             self.overload_failures.add(now)
         elif event.outcome == Outcome.DONE:
-            relative_latency = min(MAX_RELATIVE_LATENCY, event.latency * fraction / objective)
+            relative_latency = min(
+                MAX_RELATIVE_LATENCY, event.latency * warmup_fraction / objective
+            )
             self.response_counts.add(now)
             self.relative_latencies.add(now, relative_latency)
             deviation = relative_latency - self.baseline_latency
--- a/thymeknot/policy/slow_start.py
+++ b/thymeknot/policy/slow_start.py
@@ -45,17 +45,17 @@
         settings, now = context.settings, context.now
         for newest, endpoints in context.by_build.items():
             for endpoint in endpoints:
-                fraction = endpoint.warmup_fraction(now, settings)
-                self.capacity[newest] += endpoint.listed.size * fraction**exponent
-                self.warm_capacity += endpoint.listed.size * (fraction == 1.0)
+                warmup_fraction = endpoint.warmup_fraction(now, settings)
+                self.capacity[newest] += endpoint.listed.size * warmup_fraction**exponent
+                self.warm_capacity += endpoint.listed.size * (warmup_fraction == 1.0)
                 self._warming_until = max(
                     self._warming_until,
                     endpoint.listed.started + settings.warmup_duration + MAX_UPKEEP_INTERVAL,
                 )
 
-    def record_response(self, fraction: float) -> None:
+    def record_response(self, warmup_fraction: float) -> None:
         """Counts a successful response if its endpoint is warm (warm-up fraction 1)."""
-        self._warm_responses.add(self.context.now, fraction == 1.0)
+        self._warm_responses.add(self.context.now, warmup_fraction == 1.0)
 
     def upkeep(self, elapsed: Ticks) -> None:
         """Updates the capacity while endpoints warm up, and the rate of warm endpoints.
@@ -79,7 +79,7 @@
             (rate - self.warm_request_rate) * elapsed / max(TICKS_PER_SECOND, time_constant)
         )
 
-    def has_room(self, endpoint: EndpointState, fraction: float) -> bool:
+    def has_room(self, endpoint: EndpointState, warmup_fraction: float) -> bool:
         """Returns whether this instance may send one more attempt to an endpoint that warms up.
 
         The smaller the subsets, the fewer instances share this endpoint. The fractional part of a
@@ -90,7 +90,7 @@
         share = max(
             OVERLOAD_LIMIT_RATIO
             * settings.overload_factor
-            * fraction
+            * warmup_fraction
             * rate
             * window
             / TICKS_PER_SECOND,
--- a/thymeknot/policy/trial_evidence.py
+++ b/thymeknot/policy/trial_evidence.py
@@ -89,7 +89,7 @@
         if outcome in NEUTRAL_OUTCOMES:
             self.excluded[Exclusion.NEUTRAL_OUTCOME] += on_newest
             return
-        fraction, build = (
+        warmup_fraction, build = (
             endpoint.warmup_fraction(context.now, context.settings),
             endpoint.listed.build,
         )
@@ -98,20 +98,20 @@
         if stats is None:
             stats = LatencyStats(INITIAL_THRESHOLD_RATIO * latency, 0, max(1, latency))
         slow = outcome == Outcome.TIMED_OUT or (
-            outcome == Outcome.DONE and latency * fraction > stats.slow_threshold
+            outcome == Outcome.DONE and latency * warmup_fraction > stats.slow_threshold
         )
         evaluating = context.is_evaluating()
-        if evaluating and fraction == 1.0:
+        if evaluating and warmup_fraction == 1.0:
             self.slowdown.add_outcome(latency_key, outcome, latency)
         if build < release.build or not evaluating:
             self.baseline.add_outcome(
-                latency_key, stats, outcome, latency, slow=slow, warm=fraction == 1.0
+                latency_key, stats, outcome, latency, slow=slow, warm=warmup_fraction == 1.0
             )
         elif build == release.build:
             comparable = (
                 self.baseline.update_null_rates() and release.phase == ReleasePhase.ON_TRIAL
             )
-            excluded = self._exclusion(request.key, outcome, fraction, comparable)
+            excluded = self._exclusion(request.key, outcome, warmup_fraction, comparable)
             if excluded is not None:
                 self.excluded[excluded] += 1
             else:
@@ -121,20 +121,20 @@
                 if (
                     comparable
                     and stats.outcomes
-                    and fraction >= MIN_WARMUP_FRACTION
+                    and warmup_fraction >= MIN_WARMUP_FRACTION
                     and self.baseline.traffic_ratio() <= HIGH_TRAFFIC_RATIO
                 ):
                     self.test.add(Symptom.SLOW, slow, endpoint.listed)
 
     def _exclusion(
-        self, key: str, outcome: Outcome, fraction: float, comparable: bool
+        self, key: str, outcome: Outcome, warmup_fraction: float, comparable: bool
     ) -> Exclusion | None:
         """Returns why the outcome is not evidence about the newest build; None if it is.
 
         Timeouts of cold endpoints are excluded, and network losses unless the earlier build shows
         that the network is reliable. A key that fails repeatedly counts as one failure.
         """
-        if outcome == Outcome.TIMED_OUT and (fraction < 1.0 or not comparable):
+        if outcome == Outcome.TIMED_OUT and (warmup_fraction < 1.0 or not comparable):
             return Exclusion.COLD_TIMEOUT
         if is_network_loss(outcome) and not (comparable and self.baseline.network_is_reliable()):
             return Exclusion.NETWORK_LOSS
