--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -177,7 +177,7 @@
         network.ask("01")
         connection = network.connect()
         connection.resumeProducing()
-        attempt = connection.begun.__self__
+        attempt = connection.on_response_started.__self__
         connection.dataReceived(VALUE_RESPONSE)
         self.assertIs(attempt.in_flight, False)
         self.assertNotIn(
@@ -1007,14 +1007,15 @@
                     connection.dataReceived(content[offset : offset + 65536])
                     bytes_read += len(content[offset : offset + 65536])
         self.assertTrue(connection.transport.disconnected, content[:20])
-        self.assertEqual(connection.parser.held, 0)
+        self.assertEqual(connection.parser.buffered_bytes, 0)
         if not client.transport.value().startswith(b"$"):
             lines = [
                 call.kwargs["reason"]
                 for call in log.call_args_list
                 if call.args[0] == "late response discarded"
             ]
-            self.assertRegex(lines[-1], "answer")  # says what was malformed
+            # Says what was malformed.
+            self.assertRegex(lines[-1], "^(unreadable response|response larger than)")
         other_connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(other.transport.value(), b"$1\r\nv\r\n")
         connection.connectionLost(Failure(ConnectionLost()))
--- a/thymeknot/cli/decision_log_commands.py
+++ b/thymeknot/cli/decision_log_commands.py
@@ -23,11 +23,11 @@
     path: Optional[str]
     """A log file to query instead of the instance."""
     as_json: bool
-    """Whether to print lines of JSON."""
+    """Whether to print JSON lines."""
 
 
 class IdOrCommandGroup(click.Group):
-    """Accepts `why ID` besides `why find ...`: an unknown command is an id."""
+    """Accepts `why ID` as well as `why find ...`: an unknown command is an id."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
@@ -54,7 +54,7 @@
     type=click.Path(exists=True, dir_okay=False),
     help="query this log file instead of an instance",
 )
-@click.option("--json", "as_json", is_flag=True, help="print lines of JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON lines")
 @click.pass_context
 def why(context: click.Context, address: str, path: Optional[str], as_json: bool) -> None:
     """Explain how a request (by ID or key) was handled, or query the latest requests."""
@@ -63,7 +63,7 @@
 
 @libraries_from(COMMANDS)
 def _run_query(context: click.Context, query: dict[str, Any]) -> None:
-    """Prints the answer; exits with 0 if it has entries, 1 if not, 3 if nobody answers."""
+    """Prints the answer; exits with 0 if it has entries, 1 if not, 3 if there is no answer."""
     address, path, as_json = context.obj
     result_count = 0
     try:
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -43,10 +43,10 @@
     """The progress of a unit in a release or its rollback.
 
     Attributes:
-        is_awaited: whether the wave or rollback waits for the unit.
-        reason: why the unit is set aside, or None.
-        needs_permit: whether a permit is to be requested for the unit.
-        is_recovered: whether an earlier reason for setting the unit aside no longer applies.
+        is_awaited: Whether the wave or rollback waits for the unit.
+        reason: Why the unit is set aside, or None.
+        needs_permit: Whether a permit is to be requested for the unit.
+        is_recovered: Whether an earlier reason for setting the unit aside no longer applies.
     """
 
     is_awaited: bool
@@ -117,7 +117,7 @@
         Returns whether there is room for one more.
         """
         if len(self.by_name) >= MAX_RELEASES:
-            ended = min(
+            oldest_ended = min(
                 (
                     release
                     for release in self.by_name.values()
@@ -126,17 +126,17 @@
                 key=lambda release: release.number,
                 default=None,
             )
-            if ended is None:
+            if oldest_ended is None:
                 return False
-            del self.by_name[ended.name]
+            del self.by_name[oldest_ended.name]
         return True
 
     def find_conflicting(self, release: Release | None, members: set[str]) -> Release | None:
         """Returns the first unfinished release that has one of these units, or None.
 
         Args:
-            release: only releases before this one are considered; None: all are.
-            members: names of units.
+            release: Only releases before this one are considered; None: all are.
+            members: Names of units.
         """
         for other in self.sorted_by_number():
             if (
@@ -157,18 +157,18 @@
 
     def transition(self, release: Release, event: ReleaseInput) -> bool:
         """Applies an input by RELEASE_TRANSITIONS; returns False if it has no transition."""
-        step = RELEASE_TRANSITIONS.get((release.state, event))
-        if step is None:
+        transition = RELEASE_TRANSITIONS.get((release.state, event))
+        if transition is None:
             return False
-        release.state = step.state
-        self._effects[step.effect](release)
+        release.state = transition.state
+        self._effects[transition.effect](release)
         return True
 
     def _wait_for_next_round(self, release: Release) -> None:
         """Does nothing now: permits are requested in the next round."""
 
     def _withdraw_permits(self, release: Release) -> None:
-        """Withdraws the release's requests and the permits that were not begun."""
+        """Withdraws the release's requests and its unused permits."""
         for unit in self.get_units(release):
             if unit.request and unit.request.plan == release.plan:
                 self._withdraw_unit(unit)
--- a/thymeknot/gossip/receiver.py
+++ b/thymeknot/gossip/receiver.py
@@ -3,7 +3,7 @@
 Checks run in the order of their cost, so that an unwanted datagram costs as little as possible:
 size, version, network, key id, budget of the source address, encoding, sequence number, signature.
 The content of a peer's datagrams is ignored until the peer has answered a nonce of this instance
-under its present start; datagrams of another start are treated like a stranger's.
+under its current start; datagrams of another start are treated like those of an unknown sender.
 """
 
 from typing import NamedTuple
@@ -234,5 +234,5 @@
         member.address = address
         context.by_address[address] = member.name
         context.limits.set_validated_addresses(
-            [one.address for one in context.members.all.values() if one.address and one.start]
+            [peer.address for peer in context.members.all.values() if peer.address and peer.start]
         )
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -71,7 +71,7 @@
     except OSError as error:
         raise KeyringError(f"gossip.key: can't be read: {_error_text(error)}") from None
     if keyring.owner(identity.key_id, time.time()) not in (None, settings.name):
-        raise KeyringError("gossip.key: belongs to another name in gossip.peers")
+        raise KeyringError("gossip.key: gossip.peers lists this key under another name")
     return Credentials(identity, keyring, sources)
 
 
@@ -126,7 +126,7 @@
         self.max_datagrams = max(self.max_datagrams, self._datagrams)
 
     def reset(self) -> None:
-        """Resets the peaks; counting of the present second continues."""
+        """Resets the peaks; counting of the current second continues."""
         self.max_bytes = 0
         self.max_datagrams = 0
 
--- a/thymeknot/policy/sequential_test.py
+++ b/thymeknot/policy/sequential_test.py
@@ -70,16 +70,16 @@
     """The sums of the test: failures since the trial began, slowness since the stage began.
 
     Attributes:
-        null_rates: the earlier build's rates, by symptom.
-        abort_bounds: the sums above which a build is worse, by symptom.
-        bounds: the same bounds, raised where a sum at its floor has many chances to rise.
-        sums: the sums of log likelihood ratios, by symptom.
-        sums_without_worst_endpoint: the same sums without the failures of the endpoint with the
+        null_rates: The earlier build's rates, by symptom.
+        abort_bounds: The sums above which a build is worse, by symptom.
+        bounds: The same bounds, raised where a sum at its floor has many chances to rise.
+        sums: The sums of log likelihood ratios, by symptom.
+        sums_without_worst_endpoint: The same sums without the failures of the endpoint with the
             most evidence, if few endpoints serve the newest build.
-        evidence_ratio: the maximum of these sums divided by their bounds; above 1 the build is
+        evidence_ratio: The maximum of these sums divided by their bounds; above 1 the build is
             worse than the earlier one.
-        below_pause_since: since when the evidence ratio has not exceeded PAUSE_RATIO.
-        outcomes: how many outcomes were counted in this stage.
+        below_pause_since: Since when the evidence ratio has not exceeded PAUSE_RATIO.
+        outcomes: How many outcomes were counted in this stage.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -94,7 +94,7 @@
         self.outcomes = 0
         self._sums_by_endpoint: dict[tuple[Symptom, str], float] = {}
         self._sums_by_zone: dict[tuple[Symptom, str], float] = {}
-        self._left_in_second: dict[Symptom, tuple[Ticks, float]] = {}
+        self._remaining_in_second: dict[Symptom, tuple[Ticks, float]] = {}
 
     def reset(self) -> None:
         """Discards all sums, for another release."""
@@ -115,15 +115,15 @@
         self._sums_by_zone = _only_failures(self._sums_by_zone)
         self.outcomes = 0
         self.evidence_ratio = 0.0
-        self._left_in_second = {}
+        self._remaining_in_second = {}
 
     def add(self, symptom: Symptom, has_symptom: bool, endpoint: Endpoint | None = None) -> None:
         """Adds an outcome.
 
         Args:
-            symptom: the symptom that is tested.
-            has_symptom: whether the outcome shows the symptom.
-            endpoint: the endpoint that the outcome came from; its contribution, its zone's and
+            symptom: The symptom that is tested.
+            has_symptom: Whether the outcome shows the symptom.
+            endpoint: The endpoint that the outcome came from; its contribution, its zone's and
                 that of each second are capped. None applies no cap.
         """
         step = log_likelihood_ratio(symptom, has_symptom, self.null_rates[symptom])
@@ -139,7 +139,7 @@
         endpoint_sum = self._sums_by_endpoint.get(endpoint_key, 0.0)
         endpoint_bound = MAX_RATIO_PER_ENDPOINT[symptom] * abort_bound
         current_second = self.context.now // TICKS_PER_SECOND
-        last_second, remaining = self._left_in_second.get(symptom, (-1, 0.0))
+        last_second, remaining = self._remaining_in_second.get(symptom, (-1, 0.0))
         if last_second != current_second:
             single_vote = self.context.settings.votes_to_revert == 1
             remaining = MAX_RATIO_PER_SECOND[symptom, single_vote] * abort_bound
@@ -152,7 +152,7 @@
         )
         self._sums_by_endpoint[endpoint_key] = endpoint_sum + step
         self._sums_by_zone[zone_key] = max(-zone_bound, zone_sum + step)
-        self._left_in_second[symptom] = current_second, remaining - max(0.0, step)
+        self._remaining_in_second[symptom] = current_second, remaining - max(0.0, step)
         return step
 
     def add_step(self, symptom: Symptom, step: float) -> None:
@@ -201,9 +201,9 @@
     """Returns the log likelihood ratio of an outcome.
 
     Args:
-        symptom: the symptom that is tested.
-        has_symptom: whether the outcome shows the symptom.
-        null_rate: the rate of the symptom if the build is as good as the earlier one.
+        symptom: The symptom that is tested.
+        has_symptom: Whether the outcome shows the symptom.
+        null_rate: The rate of the symptom if the build is as good as the earlier one.
     """
     worse_rate = min(ALTERNATIVE_RATIO[symptom] * null_rate, (1 + null_rate) / 2)
     return log(worse_rate / null_rate) if has_symptom else log((1 - worse_rate) / (1 - null_rate))
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -51,24 +51,24 @@
     accepting_paused: bool
 
     def connection_opened(self, connection: "ClientConnection") -> None:
-        """A connection was accepted."""
+        """Called when a connection has been accepted."""
 
     def request_received(
         self, connection: "ClientConnection", sequence: int, command: Command
     ) -> None:
-        """A request has been read; its response belongs to this sequence number."""
+        """Called when a request has been read; its response belongs to this sequence number."""
 
     def client_gone(self, connection: "ClientConnection") -> None:
-        """The client has disconnected, or no longer waits for responses."""
+        """Called when the client has disconnected, or no longer waits for responses."""
 
     def connection_closed(self, connection: "ClientConnection") -> None:
-        """The connection is closed."""
+        """Called when the connection is closed."""
 
     def connection_became_idle(self) -> None:
-        """All requests of a connection are answered while accepting is paused."""
+        """Called when all requests of a connection are answered while accepting is paused."""
 
     def fault(self, where: str, error: Exception) -> None:
-        """An unexpected exception was caught."""
+        """Called when an unexpected exception was caught."""
 
 
 @implementer(IHalfCloseableProtocol)
@@ -155,7 +155,7 @@
         self.owner.connection_closed(self)
 
     def readConnectionLost(self) -> None:  # noqa: N802 (Twisted's name)
-        """The client has shut down its sending side, so it counts as disconnected.
+        """Called when the client has shut down its sending side, so it counts as disconnected.
 
         Pending requests are not forwarded. Responses that are already written are still flushed,
         since the client may be reading them.
@@ -186,7 +186,7 @@
             allow_grace: Whether unread data extends the timeout once.
         """
         self.command_timer = None
-        if not self.input_valid or (self.command_received and not self.parser.held):
+        if not self.input_valid or (self.command_received and not self.parser.buffered_bytes):
             return
         if not self.reading:  # the rest may have arrived: it is this side that has paused reading
             self._expect_command(COMMAND_TIMEOUT)
@@ -194,7 +194,7 @@
             self.command_timer = self.timers.add(
                 self.timers.clock() + LATE_READ_GRACE, self._command_overdue, False
             )
-        elif self.parser.held:
+        elif self.parser.buffered_bytes:
             self.input_valid = False
             self.answer(self._reserve_response(), resp.failure("ERR no whole command in time"))
             self.finish()
@@ -255,7 +255,7 @@
 
     def is_idle(self) -> bool:
         """Returns whether no request is in flight and none has begun to arrive."""
-        return not self.pending_responses and not self.parser.held
+        return not self.pending_responses and not self.parser.buffered_bytes
 
     def awaits_first_command(self, now: Ticks) -> bool:
         """Returns whether the connection is new, and its first command probably in transit."""
@@ -280,7 +280,7 @@
         except Exception as error:  # a bug here must only cost this connection
             self.owner.fault("client connection", error)
             self.transport.abortConnection()
-        if self.parser.held and self.input_valid and self.command_timer is None:
+        if self.parser.buffered_bytes and self.input_valid and self.command_timer is None:
             self._expect_command(COMMAND_TIMEOUT)
         if self.closing:
             self.finish()
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -31,7 +31,7 @@
         requested_at: When the connection attempt began.
         parser: Parses the response.
         status_ok: Whether the status is 200.
-        over: Whether the connection is lost, or was never established.
+        closed: Whether the connection is lost, or was never established.
         connector: Twisted's connector, set by the owner once it exists.
     """
 
@@ -47,7 +47,7 @@
         self.requested_at: Ticks = owner.timers.clock()
         self.parser = http.Parser()
         self.status_ok = False
-        self.over = False
+        self.closed = False
         self.connector: Any = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
@@ -92,12 +92,12 @@
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
-        self.over = True
+        self.closed = True
         self.owner.ended(self, reason.getErrorMessage())
 
     def not_connected(self, broken: BrokenConnection) -> None:
-        """The connection could not be established."""
-        self.over = True
+        """Called when the connection could not be established."""
+        self.closed = True
         self.owner.ended(self, broken.reason, result=CallResult.LOST)
 
     def connect_overdue(self) -> None:
@@ -107,7 +107,7 @@
 
     def drop(self) -> None:
         """Aborts the connection or the connection attempt."""
-        if self.over:
+        if self.closed:
             return
         if self.transport is None:
             self.connector.stopConnecting()
@@ -130,7 +130,7 @@
     limit would serve nobody if each sidecar retried within a second.
 
     Attributes:
-        caller: The present address.
+        caller: The current address.
         timers: The timer queue.
         silence_timeout: A stream without a heartbeat for this long counts as broken.
         first_data_timeout: The initial timeout of a stream's first data.
@@ -234,7 +234,7 @@
         return stream is self.current or stream is self.pending
 
     def _is_healthy(self) -> bool:
-        """Returns whether the current stream is at the present address and not silent."""
+        """Returns whether the current stream is at the current address and not silent."""
         return (
             self.current is not None
             and self.current.caller is self.caller
@@ -298,7 +298,7 @@
             self.start()
 
     def _check_silence(self) -> None:
-        """Requests another stream if the current one is silent; else checks again later."""
+        """Requests another stream if the current one is silent; otherwise checks again later."""
         self.silence_timer = None
         silent_at = self.last_heartbeat + self.silence_timeout
         if self.current is None:
